--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -87,7 +87,7 @@
     number: ExchangeNumber,
     zone: u32,
     phase: Phase,
-    ready_at: Duration,
+    started_at: Duration,
 }
 
 /// One controller and the names it knows.
@@ -191,8 +191,8 @@
             "POWER_ON" => {
                 let seed: u64 = line.int("prng")?;
                 let wrong = |e: String| format!("POWER_ON: info: {e}");
-                let root: JsonValue = info::json(line.get("info")?, 64).map_err(wrong)?;
-                let settings = info::settings(&root).map_err(wrong)?;
+                let root: JsonValue = info::parse_json(line.get("info")?, 64).map_err(wrong)?;
+                let settings = info::parse_settings(&root).map_err(wrong)?;
                 let controller =
                     Controller::new(settings, seed).map_err(|e| format!("POWER_ON: info: {e}"))?;
                 let fields = info::report_fields(&root).map_err(wrong)?;
@@ -256,13 +256,13 @@
         "terminated" => Phase::Gone,
         _ => return Err(line.bad("phase")),
     };
-    let ready_at = match line.find("ready_at_ms") {
+    let started_at = match line.find("ready_at_ms") {
         Some(_) => line.time("ready_at_ms")?,
         None => Duration::ZERO,
     };
     let zone = line.find("az").map_or(Ok(0), |_| line.int("az"))?;
     let number = ExchangeNumber(line.whole("place_no")?);
-    Ok(ListLine { exchange: line.get("exchange")?.to_owned(), number, zone, phase, ready_at })
+    Ok(ListLine { exchange: line.get("exchange")?.to_owned(), number, zone, phase, started_at })
 }
 
 /// The free circuits and the group size of a report, where it has them.
@@ -298,7 +298,7 @@
             let options: u32 = line.find("options").map_or(Ok(0), |_| line.int("options"))?;
             let origin = match options {
                 o if o & 8 != 0 => Origin::Transit,
-                o if o & 16 != 0 => Origin::Cut,
+                o if o & 16 != 0 => Origin::DroppedCall,
                 o if o & 2 != 0 => Origin::Redial,
                 _ => Origin::Subscriber,
             };
@@ -306,7 +306,7 @@
                 Some(_) => line.float("advised_route")?,
                 None => -1.0,
             };
-            let advice = (advised >= 0.0).then_some(ExchangeNumber(advised as u32));
+            let route_hint = (advised >= 0.0).then_some(ExchangeNumber(advised as u32));
             let dialled: u64 = line.find("item").map_or(Ok(0), |_| line.int("item"))?;
             if dialled >= 1 << 53 {
                 return Err(line.bad("item"));
@@ -319,11 +319,11 @@
                 patience: line.time("patience_left_ms")?,
                 destination: ExchangeNumber(line.whole("far_end")?),
                 circuits: line.whole("channels")?,
-                advice,
+                route_hint,
                 origin,
             }));
         }
-        "UNDER_WAY" => out.push(Event::Stands {
+        "UNDER_WAY" => out.push(Event::Answered {
             call: call()?,
             attempt: line.int("hop")?,
             delay: line.time("rtt_ms")?,
@@ -331,15 +331,15 @@
         "COMPLETED" => {
             let outcome = outcome(line)?;
             out.extend(circuits(line, instance)?);
-            out.push(Event::AttemptOver(AttemptEnd {
+            out.push(Event::AttemptEnded(AttemptEnd {
                 call: call()?,
                 attempt: line.int("hop")?,
                 delay: line.time("rtt_ms")?,
                 outcome,
-                settled: line.flag("settled")?,
+                call_ended: line.flag("settled")?,
             }));
         }
-        "LAPSED" => out.push(Event::CallerGone(call()?)),
+        "LAPSED" => out.push(Event::CallerAbandoned(call()?)),
         "FIRED" => out.push(Event::Timer(TimerId(line.int("cookie")?))),
         "PROBE_DONE" => {
             line.get("exchange")?;
@@ -359,25 +359,25 @@
     line: &Line,
     instance: &mut Instance,
     lists: &BTreeMap<u8, Vec<ListLine>>,
-) -> Result<List, String> {
+) -> Result<ListUpdate, String> {
     let form = line.get("form")?;
     if form == "error" {
-        return Ok(List::Failed);
+        return Ok(ListUpdate::Failed);
     }
     let lines = lists.get(&line.int::<u8>("page")?).ok_or_else(|| line.bad("page"))?;
     let mut entries = Vec::with_capacity(lines.len());
     for l in lines {
-        entries.push(Entry {
+        entries.push(ListEntry {
             exchange: instance.id(&l.exchange),
             number: l.number,
             zone: l.zone,
             phase: l.phase,
-            ready_at: l.ready_at,
+            started_at: l.started_at,
         });
     }
     match form {
-        "diff" => Ok(List::Change(entries)),
-        "snapshot" | "disk" => Ok(List::Whole(entries)),
+        "diff" => Ok(ListUpdate::Delta(entries)),
+        "snapshot" | "disk" => Ok(ListUpdate::Full(entries)),
         _ => Err(line.bad("form")),
     }
 }
@@ -391,7 +391,7 @@
         "RESOURCE_EXHAUSTED" => match note % 16 {
             1 => Outcome::NoCircuit,
             2 if note >= 16 => Outcome::FarProcessorFull,
-            2 => Outcome::TurnedBack,
+            2 => Outcome::TandemRefused,
             _ => Outcome::ProcessorFull((note >= 16).then(|| Duration::from_millis(note / 16))),
         },
         "DEADLINE_EXCEEDED" => Outcome::TimedOut,
--- a/node/src/slots.rs
+++ b/node/src/arena.rs
@@ -1,12 +1,12 @@
-//! Tables of numbered slots whose tokens go stale with their entry.
+//! A generational arena: tokens become stale when their entry is removed.
 
 use slab::Slab;
 
 /// Bits of a token that hold the generation; with 32 bits of slot, four are left for other uses.
 const GENERATION_BITS: u32 = 28;
 
-/// Names one entry of a [`Slots`] table. A token of an entry that is gone names nothing, even after its
-/// slot has been used again.
+/// Identifies one entry of an [`Arena`]. The token of a removed entry stays invalid, even after its slot is
+/// reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(u64);
 
@@ -22,20 +22,20 @@
     }
 }
 
-/// A table of entries under numbered slots.
+/// Entries in numbered slots, each with the generation of its insertion.
 #[derive(Debug)]
-pub struct Slots<T> {
+pub struct Arena<T> {
     slab: Slab<(u64, T)>,
     generation: u64,
 }
 
-impl<T> Default for Slots<T> {
+impl<T> Default for Arena<T> {
     fn default() -> Self {
-        Slots { slab: Slab::new(), generation: 0 }
+        Arena { slab: Slab::new(), generation: 0 }
     }
 }
 
-impl<T> Slots<T> {
+impl<T> Arena<T> {
     /// Stores what `make` builds from its own token.
     pub fn insert_with(&mut self, make: impl FnOnce(Token) -> T) -> Token {
         self.generation = (self.generation + 1) % (1 << GENERATION_BITS);
@@ -100,13 +100,13 @@
     /// Guards against a late event for a closed connection or ended call that hits the slot's next owner.
     #[test]
     fn a_token_goes_stale_with_its_entry() {
-        let mut slots = Slots::default();
-        let old = slots.insert("old");
-        assert_eq!(slots.remove(old), Some("old"));
-        let new = slots.insert("new");
+        let mut arena = Arena::default();
+        let old = arena.insert("old");
+        assert_eq!(arena.remove(old), Some("old"));
+        let new = arena.insert("new");
         assert_eq!(old.bits() & 0xffff_ffff, new.bits() & 0xffff_ffff, "the slot is used again");
-        assert_eq!(slots.remove(old), None);
-        assert_eq!(slots.get(old), None);
-        assert_eq!(slots.get(new), Some(&"new"));
+        assert_eq!(arena.remove(old), None);
+        assert_eq!(arena.get(old), None);
+        assert_eq!(arena.get(new), Some(&"new"));
     }
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,11 +1,11 @@
 //! The one place where the environment, `ROUTER_CONFIG` and the operator's file are read, checked and
 //! given defaults. Every error names the key at fault.
 
-use crate::net::conn::Bounds;
+use crate::net::conn::BufferLimits;
 use crate::net::lines;
 use crate::net::sip::message;
 use crate::net::sip::transaction::{Protocol, Target, Times};
-use slateshed::{ExchangeNumber, Listed, Phase, Settings};
+use slateshed::{ExchangeNumber, NamedEntry, Phase, Settings};
 use slateshed_settings::{self as read, duration, JsonValue};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 /// Deepest nesting of the configuration that is read; the settings have six levels.
 const DEEPEST: usize = 64;
 
-/// A change of the exchange list.
+/// An event of the journal service: an update of the exchange list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListEvent {
     /// The number of the event.
     pub position: u64,
-    /// Whether it holds the whole list.
-    pub whole: bool,
+    /// Whether it holds the full list.
+    pub full: bool,
     /// The lines, each with the exchange's address.
-    pub lines: Vec<(Listed, SocketAddr)>,
+    pub lines: Vec<(NamedEntry, SocketAddr)>,
 }
 
 /// What the process may hold, and the bounds of its tables and buffers that follow from it.
@@ -39,38 +39,41 @@
 }
 
 impl Limits {
-    /// Connections of clients: beyond this the idle ones make way. Callers hold a third of the descriptors at
+    /// Number of client connections from which on idle ones are closed for new ones. Callers hold a third of the descriptors at
     /// most; the rest of this half is for those that are not callers.
-    pub fn clients(&self) -> usize {
+    pub fn idle_clients_from(&self) -> usize {
         self.sockets / 2
     }
 
-    /// Connections of clients beyond which new ones wait, should none be idle.
-    pub fn most_clients(&self) -> usize {
+    /// Number of client connections from which on new ones are not accepted while none is idle.
+    pub fn max_clients(&self) -> usize {
         self.sockets * 5 / 8
     }
 
-    /// Connections to one exchange. A spoilt answer costs all set-ups on its connection, so there are several;
+    /// Number of connections to one exchange. A spoilt answer costs all set-ups on its connection, so there are several;
     /// more than four get no reports.
-    pub fn links(&self) -> usize {
+    pub fn connections_per_exchange(&self) -> usize {
         (self.sockets / 64).clamp(1, 4)
     }
 
-    /// A client's connection: all of them together may hold a quarter of the memory.
-    pub fn client_bounds(&self) -> Bounds {
+    /// Buffer limits of a client's connection: all of them together may hold a quarter of the memory.
+    pub fn client_buffer_limits(&self) -> BufferLimits {
         let each = self.memory / 4 / self.sockets.max(1);
-        Bounds { line: lines::LIMIT, waiting: each.max(2 * lines::LIMIT) }
+        BufferLimits { max_line: lines::MAX_MESSAGE, max_buffered: each.max(2 * lines::MAX_MESSAGE) }
     }
 
-    /// A connection to an exchange.
-    pub fn exchange_bounds(&self) -> Bounds {
-        Bounds { line: lines::LIMIT, waiting: (self.memory / 128).max(4 * lines::LIMIT) }
+    /// Buffer limits of a connection to an exchange.
+    pub fn exchange_buffer_limits(&self) -> BufferLimits {
+        BufferLimits {
+            max_line: lines::MAX_MESSAGE,
+            max_buffered: (self.memory / 128).max(4 * lines::MAX_MESSAGE),
+        }
     }
 
-    /// The stream of the journal service: a whole list is longer than a message.
-    pub fn journal_bounds(&self) -> Bounds {
-        let line = (self.memory / 32).clamp(4 * lines::LIMIT, 64 * lines::LIMIT);
-        Bounds { line, waiting: lines::LIMIT }
+    /// Buffer limits of the connection to the journal service: a whole list is longer than a message.
+    pub fn journal_buffer_limits(&self) -> BufferLimits {
+        let max_line = (self.memory / 32).clamp(4 * lines::MAX_MESSAGE, 64 * lines::MAX_MESSAGE);
+        BufferLimits { max_line, max_buffered: lines::MAX_MESSAGE }
     }
 
     /// Connections of operators. Silent ones make way beyond this.
@@ -78,9 +81,9 @@
         (self.sockets / 16).clamp(4, 32)
     }
 
-    /// A connection of an operator: the calls are short, and so are the answers.
-    pub fn operator_bounds(&self) -> Bounds {
-        Bounds { line: 256, waiting: 4 * lines::LIMIT }
+    /// Buffer limits of an operator's connection: the calls are short, and so are the answers.
+    pub fn operator_buffer_limits(&self) -> BufferLimits {
+        BufferLimits { max_line: 256, max_buffered: 4 * lines::MAX_MESSAGE }
     }
 
     /// Streams of the SIP front.
@@ -88,10 +91,10 @@
         self.sockets / 4
     }
 
-    /// A stream of the SIP front.
-    pub fn sip_bounds(&self) -> Bounds {
+    /// Buffer limits of a SIP connection.
+    pub fn sip_buffer_limits(&self) -> BufferLimits {
         let each = self.memory / 4 / self.sockets.max(1);
-        Bounds { line: message::LIMIT, waiting: each.max(2 * message::LIMIT) }
+        BufferLimits { max_line: message::MAX_MESSAGE, max_buffered: each.max(2 * message::MAX_MESSAGE) }
     }
 
     /// Transactions of the SIP front, and legs of calls there: an eighth of the memory, at 4 KiB for each with what
@@ -103,7 +106,7 @@
     /// Calls that are owed an answer, over all fronts: an eighth of the memory, were each description as long
     /// as a message can be.
     pub fn calls(&self) -> usize {
-        (self.memory / 8 / lines::LIMIT).max(64)
+        (self.memory / 8 / lines::MAX_MESSAGE).max(64)
     }
 }
 
@@ -115,7 +118,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The descriptor of the listening socket at that address, where the platform holds it and hands it down.
-    pub inherited: Option<u16>,
+    pub inherited_fd: Option<u16>,
     /// Where operators call; nowhere, should it be missing.
     pub admin: Option<SocketAddr>,
     /// For random numbers.
@@ -127,11 +130,11 @@
     /// The last event known at the start.
     pub position: u64,
     /// The events up to it.
-    pub known: Vec<News>,
+    pub known: Vec<ListEvent>,
     /// What the decision module is told.
     pub settings: Settings,
-    /// What the messages are read by.
-    pub words: Words,
+    /// Settings for reading messages.
+    pub wire: WireConfig,
     /// How long a connection may take to come up.
     pub dial_timeout: Duration,
     /// The SIP front; off where there is no operator's file, or none in it.
@@ -166,9 +169,9 @@
     pub circuits: u32,
 }
 
-/// Names in the settings that messages use.
+/// The part of the settings that is needed to read messages.
 #[derive(Clone, Debug, Default)]
-pub struct Words {
+pub struct WireConfig {
     /// Classes, in order.
     pub classes: Vec<String>,
     /// How long callers of each class wait at most.
@@ -202,7 +205,7 @@
         }
         if let Ok(descriptor) = std::env::var("ROUTER_SOCKET_FD") {
             let wrong = |_| format!("ROUTER_SOCKET_FD: {descriptor} is no descriptor");
-            config.inherited = Some(descriptor.parse().map_err(wrong)?);
+            config.inherited_fd = Some(descriptor.parse().map_err(wrong)?);
         }
         if let Ok(path) = std::env::var("SLATESHED_OPERATOR") {
             let wrong = |e: String| format!("SLATESHED_OPERATOR: {path}: {e}");
@@ -217,7 +220,7 @@
         let root: Table = text.parse().map_err(|e: toml::de::Error| e.message().to_owned())?;
         only(&root, "", &["sip"])?;
         self.sip = match root.get("sip") {
-            Some(Value::Table(sip)) => Some(sip_config(sip, &self.words.classes)?),
+            Some(Value::Table(sip)) => Some(sip_config(sip, &self.wire.classes)?),
             Some(_) => return Err("sip is no table".into()),
             None => None,
         };
@@ -226,10 +229,10 @@
 
     /// Reads the configuration's JSON.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let root: JsonValue = read::json(text, DEEPEST)?;
+        let root: JsonValue = read::parse_json(text, DEEPEST)?;
         let seed = read::text(&root, "seed")?;
         let seed = u64::from_str_radix(seed, 16).map_err(|_| "seed is no hex number of 64 bits")?;
-        let settings = read::at(&root, "settings").ok_or("settings is missing")?;
+        let settings = read::lookup(&root, "settings").ok_or("settings is missing")?;
         let prefixed = |e: String| format!("settings.{e}");
         let names = |path: &str, field: &str| -> Result<Vec<String>, String> {
             let list = read::list(settings, path).map_err(prefixed)?;
@@ -239,28 +242,29 @@
             };
             list.iter().map(name).collect::<Result<_, _>>().map_err(prefixed)
         };
-        let module = read::settings(settings).map_err(prefixed)?;
-        let words = Words {
+        let module = read::parse_settings(settings).map_err(prefixed)?;
+        let wire = WireConfig {
             classes: names("services", "name")?,
             deadlines: module.classes.iter().map(|c| c.deadline).collect(),
             zones: names("zones", "")?,
             report: read::report_fields(settings).map_err(prefixed)?,
             may_probe: may_probe(settings)?,
         };
-        let dial_timeout = match read::at(settings, "allowed.dial_timeout_ms") {
-            Some(_) => read::time(settings, "allowed.dial_timeout_ms").map_err(prefixed)?,
+        let dial_timeout = match read::lookup(settings, "allowed.dial_timeout_ms") {
+            Some(_) => read::millis(settings, "allowed.dial_timeout_ms").map_err(prefixed)?,
             None => DIAL_TIMEOUT,
         };
         let entries = read::list(&root, "known.entries")?;
-        let known = entries
-            .iter()
-            .enumerate()
-            .map(|(i, e)| news(e, &words.zones).map_err(|error| format!("known.entries[{i}]: {error}")));
+        let known = entries.iter().enumerate().map(|(i, e)| {
+            parse_list_event(e, &wire.zones).map_err(|error| format!("known.entries[{i}]: {error}"))
+        });
         Ok(Config {
             name: read::text(&root, "name")?.to_owned(),
             listen: address(&root, "listen")?,
-            inherited: None,
-            admin: read::at(&root, "admin_addr").map(|_| address(&root, "admin_addr")).transpose()?,
+            inherited_fd: None,
+            admin: read::lookup(&root, "admin_addr")
+                .map(|_| address(&root, "admin_addr"))
+                .transpose()?,
             seed,
             limits: Limits {
                 sockets: read::count(&root, "limits.sockets")? as usize,
@@ -270,7 +274,7 @@
             position: read::number(&root, "known.pos")? as u64,
             known: known.collect::<Result<_, _>>()?,
             settings: module,
-            words,
+            wire,
             dial_timeout,
             sip: None,
         })
@@ -369,7 +373,7 @@
 
 /// Whether exchanges may be asked; not where the settings don't say.
 fn may_probe(settings: &JsonValue) -> Result<bool, String> {
-    match read::at(settings, "allowed.probing") {
+    match read::lookup(settings, "allowed.probing") {
         Some(JsonValue::Boolean(allowed)) => Ok(*allowed),
         Some(_) => Err("settings.allowed.probing is no truth value".into()),
         None => Ok(false),
@@ -377,10 +381,10 @@
 }
 
 /// Reads one event of the journal service.
-pub fn news(event: &JsonValue, zones: &[String]) -> Result<News, String> {
+pub fn parse_list_event(event: &JsonValue, zones: &[String]) -> Result<ListEvent, String> {
     let position = read::number(event, "pos")? as u64;
-    let whole = read::at(event, "hosts.full").and_then(JsonValue::get::<bool>).copied();
-    let whole = whole.ok_or("hosts.full is no truth value")?;
+    let full = read::lookup(event, "hosts.full").and_then(JsonValue::get::<bool>).copied();
+    let full = full.ok_or("hosts.full is no truth value")?;
     let mut lines = Vec::new();
     for server in read::list(event, "hosts.servers")? {
         let phase = match read::text(server, "state")? {
@@ -390,20 +394,20 @@
             other => return Err(format!("state {other} is unknown")),
         };
         let zone = read::text(server, "zone")?;
-        let started = match read::at(server, "started_ms") {
+        let started_at = match read::lookup(server, "started_ms") {
             Some(_) => {
                 duration(read::number(server, "started_ms")?).ok_or("started_ms is out of range")?
             }
             None => Duration::ZERO,
         };
-        let listed = Listed {
+        let listed = NamedEntry {
             name: read::text(server, "id")?.to_owned(),
             number: ExchangeNumber(read::count(server, "cell")?),
             zone: zones.iter().position(|z| z == zone).unwrap_or(zones.len()) as u32,
             phase,
-            started,
+            started_at,
         };
         lines.push((listed, address(server, "addr")?));
     }
-    Ok(News { position, whole, lines })
+    Ok(ListEvent { position, full, lines })
 }
--- a/node/src/end.rs
+++ b/node/src/end.rs
@@ -4,48 +4,48 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How it ended.
+/// Why a connection or an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// The connection was refused.
-    Refused,
+    ConnectionRefused,
     /// The connection did not come up in time.
     DialTimedOut,
     /// The connection was reset before anything was written to it.
-    NeverUp,
+    ResetBeforeUse,
     /// No connection could be made from here: no descriptor, no route.
     NoSocket,
     /// The peer closed the connection in good order.
-    Closed,
+    PeerClosed,
     /// The connection was reset or broke.
-    Broken,
+    ConnectionBroken,
     /// The peer has been silent for too long.
-    Silent,
-    /// The peer began a message and did not end it.
-    StoppedShort,
-    /// The peer sent what is no message.
-    Garbage,
-    /// The peer sent more than a message may hold.
-    Oversized,
-    /// The peer takes nothing in, and too much waits for it.
-    Backlog,
+    PeerSilent,
+    /// The peer did not complete a message that it had begun.
+    MessageIncomplete,
+    /// The peer sent something that is not a valid message.
+    MalformedMessage,
+    /// The peer sent a message above the size limit.
+    MessageTooLong,
+    /// The send buffer is full because the peer does not read.
+    SendBufferFull,
     /// This side closed the connection.
-    ClosedHere,
+    ClosedLocally,
     /// The attempt was not answered in time and was given up.
     TimedOut,
     /// Set-ups sent later were answered, so that no answer is to be expected, and the attempt was given up.
     Overtaken,
-    /// The caller gave the attempt up.
-    GivenUp,
+    /// The caller cancelled the attempt.
+    Cancelled,
     /// The attempt never left this side.
     NotSent,
     /// The call stood and has come to its end.
     Ended,
     /// No circuit (or agent) was free.
     NoCircuit,
-    /// The tandem turned the call back.
-    TurnedBack,
-    /// The tandem turned the call back as the destination's processor was full.
+    /// The tandem refused the call.
+    TandemRefused,
+    /// The tandem refused the call because the destination's processor was full.
     FarProcessorFull,
     /// The processor was full; with the wait that it told, where it told one.
     ProcessorFull(Option<Duration>),
@@ -55,38 +55,46 @@
     NumberBusy,
     /// A signalling fault.
     Fault,
-    /// The exchange reset the set-up or cut the call.
-    Cut,
-    /// The call stood at a process that has given no sign of life for too long.
-    Lost,
+    /// The exchange reset the set-up or dropped the call.
+    Dropped,
+    /// The call was established at a process that has given no sign of life for too long.
+    ExchangeDead,
 }
 
-impl End {
+impl EndReason {
     /// What the controller is told. Only a connection that was refused or never came up proves that
     /// nothing ran; any other end of a connection may have cut a set-up that did.
     pub fn outcome(self) -> Outcome {
         match self {
-            End::Refused | End::DialTimedOut | End::NeverUp | End::NoSocket => Outcome::Unreachable,
-            End::Closed | End::Broken | End::Silent | End::StoppedShort => Outcome::Disconnected,
-            End::Garbage | End::Oversized => Outcome::Disconnected,
-            End::Backlog | End::ClosedHere | End::Overtaken => Outcome::Disconnected,
-            End::Cut | End::Lost => Outcome::Reset,
-            End::TimedOut => Outcome::TimedOut,
-            End::GivenUp => Outcome::Cancelled,
-            End::NotSent => Outcome::NotSent,
-            End::Ended => Outcome::Ended,
-            End::NoCircuit => Outcome::NoCircuit,
-            End::TurnedBack => Outcome::TurnedBack,
-            End::FarProcessorFull => Outcome::FarProcessorFull,
-            End::ProcessorFull(wait) => Outcome::ProcessorFull(wait),
-            End::OwnProcessorDown => Outcome::OwnProcessorDown,
-            End::NumberBusy => Outcome::NumberBusy,
-            End::Fault => Outcome::Fault,
+            EndReason::ConnectionRefused
+            | EndReason::DialTimedOut
+            | EndReason::ResetBeforeUse
+            | EndReason::NoSocket => Outcome::Unreachable,
+            EndReason::PeerClosed
+            | EndReason::ConnectionBroken
+            | EndReason::PeerSilent
+            | EndReason::MessageIncomplete => Outcome::Disconnected,
+            EndReason::MalformedMessage | EndReason::MessageTooLong => Outcome::Disconnected,
+            EndReason::SendBufferFull | EndReason::ClosedLocally | EndReason::Overtaken => {
+                Outcome::Disconnected
+            }
+            EndReason::Dropped | EndReason::ExchangeDead => Outcome::Reset,
+            EndReason::TimedOut => Outcome::TimedOut,
+            EndReason::Cancelled => Outcome::Cancelled,
+            EndReason::NotSent => Outcome::NotSent,
+            EndReason::Ended => Outcome::Ended,
+            EndReason::NoCircuit => Outcome::NoCircuit,
+            EndReason::TandemRefused => Outcome::TandemRefused,
+            EndReason::FarProcessorFull => Outcome::FarProcessorFull,
+            EndReason::ProcessorFull(wait) => Outcome::ProcessorFull(wait),
+            EndReason::OwnProcessorDown => Outcome::OwnProcessorDown,
+            EndReason::NumberBusy => Outcome::NumberBusy,
+            EndReason::Fault => Outcome::Fault,
         }
     }
 
     /// Whether what is still held for the attempt may take a while to come free.
-    pub fn needs_release_wait(self) -> bool {
+    pub fn needs_release_delay(self) -> bool {
         use Outcome::*;
         matches!(self.outcome(), TimedOut | Reset | Disconnected | Cancelled)
     }
@@ -94,37 +102,37 @@
     /// Its name, in the log and in the figures.
     pub fn name(self) -> &'static str {
         match self {
-            End::Refused => "connection refused",
-            End::DialTimedOut => "connection not up in time",
-            End::NeverUp => "reset before it was up",
-            End::NoSocket => "no socket",
-            End::Closed => "closed by the peer",
-            End::Broken => "connection broke",
-            End::Silent => "peer silent",
-            End::StoppedShort => "message not whole",
-            End::Garbage => "no message",
-            End::Oversized => "message too long",
-            End::Backlog => "peer takes nothing in",
-            End::ClosedHere => "closed here",
-            End::TimedOut => "timed out",
-            End::Overtaken => "overtaken",
-            End::GivenUp => "given up",
-            End::NotSent => "not sent",
-            End::Ended => "ended",
-            End::NoCircuit => "no circuit",
-            End::TurnedBack => "turned back",
-            End::FarProcessorFull => "far processor full",
-            End::ProcessorFull(_) => "processor full",
-            End::OwnProcessorDown => "own processor down",
-            End::NumberBusy => "number busy",
-            End::Fault => "fault",
-            End::Cut => "cut",
-            End::Lost => "lost",
+            EndReason::ConnectionRefused => "connection refused",
+            EndReason::DialTimedOut => "connection not up in time",
+            EndReason::ResetBeforeUse => "reset before it was up",
+            EndReason::NoSocket => "no socket",
+            EndReason::PeerClosed => "closed by the peer",
+            EndReason::ConnectionBroken => "connection broke",
+            EndReason::PeerSilent => "peer silent",
+            EndReason::MessageIncomplete => "message not whole",
+            EndReason::MalformedMessage => "no message",
+            EndReason::MessageTooLong => "message too long",
+            EndReason::SendBufferFull => "peer takes nothing in",
+            EndReason::ClosedLocally => "closed here",
+            EndReason::TimedOut => "timed out",
+            EndReason::Overtaken => "overtaken",
+            EndReason::Cancelled => "given up",
+            EndReason::NotSent => "not sent",
+            EndReason::Ended => "ended",
+            EndReason::NoCircuit => "no circuit",
+            EndReason::TandemRefused => "turned back",
+            EndReason::FarProcessorFull => "far processor full",
+            EndReason::ProcessorFull(_) => "processor full",
+            EndReason::OwnProcessorDown => "own processor down",
+            EndReason::NumberBusy => "number busy",
+            EndReason::Fault => "fault",
+            EndReason::Dropped => "cut",
+            EndReason::ExchangeDead => "lost",
         }
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for EndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -4,15 +4,15 @@
 //! says, it holds to what the rules ask of any front: one final answer before the caller gives up, one
 //! attempt out, the wait for release, and nothing new to an exchange that drains or is gone.
 
-mod upkeep;
+mod liveness;
 
-pub use upkeep::Upkeep;
+pub use liveness::ConnectionRequest;
 
-use crate::deadlines::Deadlines;
-use crate::end::End;
+use crate::arena::{Arena, Token};
+use crate::end::EndReason;
 use crate::liveness::{Incarnation, Liveness};
-use crate::notices::Notice;
-use crate::slots::{Slots, Token};
+use crate::log_events::LogEvent;
+use crate::timers::TimerQueue;
 use slateshed::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptToken(pub Token);
 
-/// What goes on unchanged from the caller to the exchange.
+/// Call details that are forwarded unchanged from the caller to the exchange.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct CallInfo {
     /// The caller's id of the call.
     pub id: String,
     /// The class, by name.
@@ -46,11 +46,11 @@
     pub description: String,
 }
 
-/// A call as a front hands it over.
+/// A new call received from a caller.
 #[derive(Debug)]
-pub struct Incoming {
-    /// What goes on unchanged.
-    pub offer: Rc<Offer>,
+pub struct IncomingCall {
+    /// Details forwarded unchanged.
+    pub info: Rc<CallInfo>,
     /// Its class, by position in the settings.
     pub class: usize,
     /// The number called.
@@ -61,8 +61,8 @@
     pub destination: ExchangeNumber,
     /// Circuits it takes.
     pub circuits: u32,
-    /// The tandem that a centre advised.
-    pub advice: Option<ExchangeNumber>,
+    /// The tandem suggested by a central service.
+    pub route_hint: Option<ExchangeNumber>,
     /// Where it comes from.
     pub origin: Origin,
 }
@@ -76,17 +76,17 @@
         attempt: AttemptToken,
         /// Where to.
         exchange: ExchangeId,
-        /// What goes on unchanged.
-        offer: Rc<Offer>,
+        /// Details forwarded unchanged.
+        info: Rc<CallInfo>,
         /// How long the answer is waited for.
         wait: Duration,
     },
-    /// Give an attempt up that has no answer.
-    GiveUp(AttemptToken),
+    /// Cancel an unanswered attempt.
+    CancelAttempt(AttemptToken),
     /// Release a call that stands towards the exchange.
-    ReleaseExchange(AttemptToken, Cause),
-    /// Nothing is owed for an attempt any more: what stood there is lost.
-    Forget(AttemptToken),
+    ReleaseExchange(AttemptToken, ReleaseCause),
+    /// Discard the state of an attempt: its call is lost, and the exchange need not be told.
+    ForgetAttempt(AttemptToken),
     /// Final answer: the call stands, with the exchange's description.
     Answer(CallToken, String),
     /// Final answer: refused, with the time to stay away.
@@ -94,7 +94,7 @@
     /// Final answer: failed.
     Fail(CallToken),
     /// Release a call that stood towards the caller.
-    ReleaseCaller(CallToken, Cause),
+    ReleaseCaller(CallToken, ReleaseCause),
 }
 
 impl Command {
@@ -105,31 +105,31 @@
     }
 }
 
-/// Why a call that stood is over.
+/// Why an established call was released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// It came to its end.
+pub enum ReleaseCause {
+    /// Normal clearing.
     Normal,
-    /// It was cut.
-    Cut,
+    /// The call was dropped.
+    Dropped,
 }
 
-/// What the engine waits for.
+/// A timer of the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
+pub enum EngineTimer {
     /// A timer of the controller.
     Controller(TimerId),
-    /// The last moment for a call's final answer.
-    Answer(CallToken),
-    /// The end of the wait for an attempt.
-    Attempt(AttemptToken),
-    /// It is time to look whether an exchange at which calls stand still lives.
+    /// Deadline for a call's final answer.
+    AnswerDeadline(CallToken),
+    /// Timeout of an attempt.
+    AttemptTimeout(AttemptToken),
+    /// The next liveness review of an exchange with established calls is due.
     Review(ExchangeId),
 }
 
-/// How many calls of a class have got which final answer.
+/// Number of calls of one class by final answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Results {
+pub struct ResultCounts {
     /// The call stood.
     pub succeeded: u64,
     /// Refused.
@@ -138,11 +138,11 @@
     pub aborted: u64,
 }
 
-/// What has been done since the start, and what there is now.
+/// Counters since the start, and the current state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Final answers, by class.
-    pub results: Vec<Results>,
+    pub results: Vec<ResultCounts>,
     /// Set-ups written whole to exchanges.
     pub forwards: u64,
     /// Calls taken and not ended.
@@ -151,8 +151,8 @@
     pub discovered: usize,
     /// Of these the ones that the controller avoids.
     pub ejected: usize,
-    /// Calls that stand.
-    pub standing: usize,
+    /// Established calls.
+    pub established: usize,
     /// Calls that stood and whose callers were told of their end, by why they were over.
     pub releases: BTreeMap<&'static str, u64>,
     /// Set-ups that ended without an answer, by how.
@@ -167,7 +167,7 @@
 
 #[derive(Debug)]
 struct Call {
-    offer: Rc<Offer>,
+    info: Rc<CallInfo>,
     class: usize,
     destination: ExchangeNumber,
     /// The final answer has been given before then.
@@ -178,7 +178,7 @@
     attempts: u32,
     attempt: Option<AttemptToken>,
     /// How the last attempt ended.
-    last_end: Option<End>,
+    last_end: Option<EndReason>,
 }
 
 #[derive(Debug)]
@@ -201,7 +201,7 @@
     name: String,
     number: ExchangeNumber,
     phase: Phase,
-    started: Duration,
+    started_at: Duration,
     liveness: Liveness,
     /// A review is due in time.
     is_watched: bool,
@@ -211,9 +211,9 @@
 pub struct Engine {
     controller: Controller,
     /// The longest that a refused caller may be told to stay away.
-    stay_away: Duration,
-    calls: Slots<Call>,
-    attempts: Slots<Attempt>,
+    max_retry_after: Duration,
+    calls: Arena<Call>,
+    attempts: Arena<Attempt>,
     /// Those of the list, and those gone on which an attempt is still out.
     exchanges: BTreeMap<ExchangeId, Exchange>,
     names: HashMap<String, ExchangeId>,
@@ -224,7 +224,7 @@
     commands: VecDeque<Command>,
     /// After a planned stop was asked for: no answer is owed beyond this.
     stop_by: Option<Duration>,
-    results: Vec<Results>,
+    results: Vec<ResultCounts>,
     forwards: u64,
     releases: BTreeMap<&'static str, u64>,
     attempt_ends: BTreeMap<&'static str, u64>,
@@ -232,21 +232,21 @@
     checks: u64,
     adverse_observations: u64,
     /// What the log has not been told yet.
-    notices: VecDeque<Notice>,
+    log_events: VecDeque<LogEvent>,
     /// What is wanted of the connections to exchanges.
-    upkeep: VecDeque<Upkeep>,
+    connection_requests: VecDeque<ConnectionRequest>,
 }
 
 impl Engine {
     /// An engine without calls.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let stay_away = settings.retry_after;
-        let results = vec![Results::default(); settings.classes.len()];
+        let max_retry_after = settings.max_retry_after;
+        let results = vec![ResultCounts::default(); settings.classes.len()];
         Ok(Engine {
             controller: Controller::new(settings, seed)?,
-            stay_away,
-            calls: Slots::default(),
-            attempts: Slots::default(),
+            max_retry_after,
+            calls: Arena::default(),
+            attempts: Arena::default(),
             exchanges: BTreeMap::new(),
             names: HashMap::new(),
             next_exchange: 0,
@@ -261,14 +261,14 @@
             retries: 0,
             checks: 0,
             adverse_observations: 0,
-            notices: VecDeque::new(),
-            upkeep: VecDeque::new(),
+            log_events: VecDeque::new(),
+            connection_requests: VecDeque::new(),
         })
     }
 
-    /// How long a caller is told to stay away whom the controller has not decided on, where callers follow that.
-    pub fn stay_away(&self) -> Option<Duration> {
-        Some(self.stay_away).filter(|s| !s.is_zero())
+    /// Retry-after for calls that are refused without a decision of the controller, where callers honour it.
+    pub fn max_retry_after(&self) -> Option<Duration> {
+        Some(self.max_retry_after).filter(|s| !s.is_zero())
     }
 
     /// Whether a command waits to be carried out.
@@ -281,36 +281,36 @@
         self.commands.pop_front()
     }
 
-    /// The next thing that the log has to be told.
-    pub fn next_notice(&mut self) -> Option<Notice> {
-        self.notices.pop_front()
+    /// The next event to be logged.
+    pub fn next_log_event(&mut self) -> Option<LogEvent> {
+        self.log_events.pop_front()
     }
 
-    /// Calls whose final answer is still owed.
-    pub fn owed(&self) -> usize {
+    /// Number of calls without a final answer.
+    pub fn unanswered_calls(&self) -> usize {
         let stands = |c: &Call| c.attempt.and_then(|a| self.attempts.get(a.0)).is_some_and(|a| a.stands);
         self.calls.iter().filter(|(_, c)| !stands(c)).count()
     }
 
-    /// Calls that stand.
-    pub fn standing(&self) -> usize {
+    /// Number of established calls.
+    pub fn established_calls(&self) -> usize {
         self.attempts.iter().filter(|(_, a)| a.stands).count()
     }
 
-    /// Exchanges that are kept in mind.
-    pub fn known(&self) -> usize {
+    /// Number of exchanges that are tracked.
+    pub fn known_exchanges(&self) -> usize {
         self.exchanges.len().max(self.names.len())
     }
 
-    /// The figures that operators ask for.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    /// The statistics for operators.
+    pub fn stats(&self) -> Stats {
+        Stats {
             results: self.results.clone(),
             forwards: self.forwards,
             outstanding: self.calls.len(),
             discovered: self.exchanges.values().filter(|e| e.phase != Phase::Gone).count(),
             ejected: self.controller.avoided(),
-            standing: self.standing(),
+            established: self.established_calls(),
             releases: self.releases.clone(),
             attempt_ends: self.attempt_ends.clone(),
             retries: self.retries,
@@ -319,17 +319,17 @@
         }
     }
 
-    /// A front has written so many set-ups whole.
-    pub fn forwarded(&mut self, set_ups: u64) {
+    /// Counts set-ups that were written completely to an exchange.
+    pub fn count_forwards(&mut self, set_ups: u64) {
         self.forwards += set_ups;
     }
 
-    /// A front has refused a call that never came to be one here.
-    pub fn turned_away(&mut self, class: usize) {
+    /// Counts a call that was refused before it reached the engine.
+    pub fn count_refused(&mut self, class: usize) {
         self.count(class, |r| &mut r.declined);
     }
 
-    fn count(&mut self, class: usize, answer: impl FnOnce(&mut Results) -> &mut u64) {
+    fn count(&mut self, class: usize, answer: impl FnOnce(&mut ResultCounts) -> &mut u64) {
         if let Some(results) = self.results.get_mut(class) {
             *answer(results) += 1;
         }
@@ -351,25 +351,25 @@
     }
 
     /// A planned stop: all calls that are owed an answer get one before `by`.
-    pub fn stop<D: From<Wake>>(&mut self, by: Duration, deadlines: &mut Deadlines<D>) {
+    pub fn stop<D: From<EngineTimer>>(&mut self, by: Duration, timers: &mut TimerQueue<D>) {
         self.stop_by = Some(by);
         for (token, _) in self.calls.iter() {
-            deadlines.set(by, Wake::Answer(CallToken(token)).into());
+            timers.schedule(by, EngineTimer::AnswerDeadline(CallToken(token)).into());
         }
     }
 
-    /// Takes in a call.
-    pub fn call<D: From<Wake>>(
+    /// Starts a new call.
+    pub fn new_call<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
-        new: Incoming,
-        d: &mut Deadlines<D>,
+        new: IncomingCall,
+        timers: &mut TimerQueue<D>,
     ) -> CallToken {
         let limit = self.stop_by.unwrap_or(Duration::MAX);
         let answer_by = now.saturating_add(new.patience).saturating_sub(ANSWER_MARGIN).min(limit);
         let answer_by = answer_by.max(now);
         let call = CallToken(self.calls.insert(Call {
-            offer: new.offer,
+            info: new.info,
             class: new.class,
             destination: new.destination,
             answer_by,
@@ -378,7 +378,7 @@
             attempt: None,
             last_end: None,
         }));
-        d.set(answer_by, Wake::Answer(call).into());
+        timers.schedule(answer_by, EngineTimer::AnswerDeadline(call).into());
         let event = Event::Call(NewCall {
             call: CallId(call.0.bits()),
             class: new.class,
@@ -387,15 +387,20 @@
             patience: answer_by - now,
             destination: new.destination,
             circuits: new.circuits,
-            advice: new.advice,
+            route_hint: new.route_hint,
             origin: new.origin,
         });
-        self.tell(now, event, d);
+        self.tell(now, event, timers);
         call
     }
 
-    /// The caller has given the set-up up, or released the call that stands.
-    pub fn caller_ends<D: From<Wake>>(&mut self, now: Duration, call: CallToken, d: &mut Deadlines<D>) {
+    /// The caller cancelled the set-up or released the established call.
+    pub fn caller_ended<D: From<EngineTimer>>(
+        &mut self,
+        now: Duration,
+        call: CallToken,
+        timers: &mut TimerQueue<D>,
+    ) {
         let Some(c) = self.calls.get(call.0) else {
             return;
         };
@@ -403,25 +408,25 @@
         match attempt.and_then(|a| self.attempts.get(a.0)) {
             Some(a) if a.stands => {
                 self.calls.remove(call.0);
-                self.end_attempt(now, attempt, End::GivenUp, true, d);
+                self.end_attempt(now, attempt, EndReason::Cancelled, true, timers);
             }
             _ => {
                 self.calls.remove(call.0);
-                self.pending.push_back(Event::CallerGone(CallId(call.0.bits())));
-                self.end_attempt(now, attempt, End::GivenUp, true, d);
+                self.pending.push_back(Event::CallerAbandoned(CallId(call.0.bits())));
+                self.end_attempt(now, attempt, EndReason::Cancelled, true, timers);
             }
         }
     }
 
     /// The exchange has answered: the call stands. False if the attempt is over or stood before. `by`: the process
     /// that the answer's connection leads to; the newest, where fronts don't tell processes apart.
-    pub fn answered<D: From<Wake>>(
+    pub fn answered<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         attempt: AttemptToken,
         by: Option<Incarnation>,
         description: String,
-        d: &mut Deadlines<D>,
+        timers: &mut TimerQueue<D>,
     ) -> bool {
         let Some(a) = self.attempts.get_mut(attempt.0).filter(|a| !a.stands) else {
             return false;
@@ -429,7 +434,7 @@
         (a.stands, a.stood) = (true, now);
         if let Some(e) = self.exchanges.get_mut(&a.exchange) {
             a.incarnation = by.unwrap_or_else(|| e.liveness.newest(now));
-            e.liveness.heard(now, a.incarnation);
+            e.liveness.record_activity(now, a.incarnation);
         }
         let (call, number, delay) = (a.call, a.number, now.saturating_sub(a.sent));
         let (exchange, sent, direct) = (a.exchange, a.sent, a.direct);
@@ -440,8 +445,8 @@
         if direct {
             self.overtake(now, exchange, sent);
         }
-        self.tell(now, Event::Stands { call: CallId(call.0.bits()), attempt: number, delay }, d);
-        self.watch(now, exchange, d);
+        self.tell(now, Event::Answered { call: CallId(call.0.bits()), attempt: number, delay }, timers);
+        self.watch(now, exchange, timers);
         true
     }
 
@@ -457,26 +462,27 @@
             }
         }
         for attempt in lost {
-            self.commands.push_back(Command::GiveUp(attempt));
-            self.attempts_over(now, attempt, End::Overtaken, false);
+            self.commands.push_back(Command::CancelAttempt(attempt));
+            self.attempts_over(now, attempt, EndReason::Overtaken, false);
         }
     }
 
     /// An attempt, out or standing, has ended at the exchange or with its connection. A connection that
     /// ends takes with it only what has not been answered: what stands belongs to no connection.
-    pub fn attempt_ended<D: From<Wake>>(
+    pub fn attempt_ended<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         attempt: AttemptToken,
-        end: End,
-        d: &mut Deadlines<D>,
+        end: EndReason,
+        timers: &mut TimerQueue<D>,
     ) {
         let Some(a) = self.attempts.get(attempt.0) else {
             return;
         };
         if a.stands {
             let call = a.call;
-            let cause = if end == End::Ended { Cause::Normal } else { Cause::Cut };
+            let cause =
+                if end == EndReason::Ended { ReleaseCause::Normal } else { ReleaseCause::Dropped };
             self.note_release(now, attempt, end);
             self.calls.remove(call.0);
             self.commands.push_back(Command::ReleaseCaller(call, cause));
@@ -484,53 +490,53 @@
         } else {
             self.attempts_over(now, attempt, end, false);
         }
-        self.run(now, d);
+        self.run(now, timers);
     }
 
     /// Notes that a call was refused.
     fn note_refused(&mut self, call: &Call) {
         let (attempts, last) = (call.attempts, call.last_end);
-        self.notices.push_back(Notice::Refused { call: call.offer.id.clone(), attempts, last });
+        self.log_events.push_back(LogEvent::Refused { call: call.info.id.clone(), attempts, last });
     }
 
     /// Notes that the caller of a call that stands is told of its end.
-    fn note_release(&mut self, now: Duration, attempt: AttemptToken, why: End) {
+    fn note_release(&mut self, now: Duration, attempt: AttemptToken, why: EndReason) {
         let Some(a) = self.attempts.get(attempt.0) else {
             return;
         };
         *self.releases.entry(why.name()).or_default() += 1;
-        let call = self.calls.get(a.call.0).map_or(String::new(), |c| c.offer.id.clone());
+        let call = self.calls.get(a.call.0).map_or(String::new(), |c| c.info.id.clone());
         let (exchange, stood) = (self.name(a.exchange).to_owned(), now.saturating_sub(a.stood));
-        self.notices.push_back(Notice::Released { call, exchange, why, stood });
+        self.log_events.push_back(LogEvent::Released { call, exchange, why, stood });
     }
 
     /// Whether an attempt has been answered and not ended.
-    pub fn stands(&self, attempt: AttemptToken) -> bool {
+    pub fn is_answered(&self, attempt: AttemptToken) -> bool {
         self.attempts.get(attempt.0).is_some_and(|a| a.stands)
     }
 
     /// The state of the group to an exchange.
-    pub fn circuits<D: From<Wake>>(
+    pub fn update_circuits<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         (free, size): (u32, u32),
-        d: &mut Deadlines<D>,
+        timers: &mut TimerQueue<D>,
     ) {
-        self.tell(now, Event::Circuits { exchange, free, size }, d);
+        self.tell(now, Event::Circuits { exchange, free, size }, timers);
     }
 
-    /// News of the list.
-    pub fn list<D: From<Wake>>(
+    /// Applies an update of the list.
+    pub fn update_list<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
-        whole: bool,
-        lines: &[Listed],
-        d: &mut Deadlines<D>,
+        full: bool,
+        lines: &[NamedEntry],
+        timers: &mut TimerQueue<D>,
     ) {
         let mut lost = Vec::new();
         let mut entries = Vec::with_capacity(lines.len());
-        if whole {
+        if full {
             for (id, e) in &mut self.exchanges {
                 if !lines.iter().any(|l| l.name == e.name) && e.phase != Phase::Gone {
                     e.phase = Phase::Gone;
@@ -547,42 +553,42 @@
                 name: l.name.clone(),
                 number: l.number,
                 phase: l.phase,
-                started: l.started,
+                started_at: l.started_at,
                 liveness: Liveness::default(),
                 is_watched: false,
             });
             // A process that has started anew knows nothing of the calls before; one withdrawn has none.
             if l.phase == Phase::Gone {
                 lost.push((id, Duration::MAX));
-            } else if l.started > e.started {
-                lost.push((id, l.started));
+            } else if l.started_at > e.started_at {
+                lost.push((id, l.started_at));
             }
-            (e.phase, e.started) = (l.phase, l.started);
+            (e.phase, e.started_at) = (l.phase, l.started_at);
             entries.push(l.entry(id));
         }
-        let list = if whole { List::Whole(entries) } else { List::Change(entries) };
+        let list = if full { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
         self.pending.push_back(Event::List(list));
         for (id, until) in lost {
-            self.lose(now, id, until, d);
+            self.lose(now, id, until, timers);
         }
-        self.run(now, d);
+        self.run(now, timers);
     }
 
     /// Notes what a line of the list changes.
-    fn note_listed(&mut self, line: &Listed) {
+    fn note_listed(&mut self, line: &NamedEntry) {
         let known = self.names.get(&line.name).and_then(|id| self.exchanges.get(id));
         let from = known.map(|e| e.phase);
-        let restarted = known.is_some_and(|e| line.started > e.started);
+        let restarted = known.is_some_and(|e| line.started_at > e.started_at);
         if from != Some(line.phase) || restarted {
             let (exchange, to) = (line.name.clone(), line.phase);
-            self.notices.push_back(Notice::Listed { exchange, from, to, restarted });
+            self.log_events.push_back(LogEvent::PhaseChanged { exchange, from, to, restarted });
         }
     }
 
-    /// Forgets the exchanges that are gone, once nothing is out there. They are replaced for good, under other
+    /// Removes the exchanges that are gone, once no attempt is left there. They are replaced for good, under other
     /// names, so whoever keeps them grows for as long as it runs. Fronts look names up until the news is dealt
     /// with, so this is for them to call then.
-    pub fn forget_gone(&mut self) {
+    pub fn remove_gone(&mut self) {
         let attempts = &self.attempts;
         self.exchanges
             .retain(|id, e| e.phase != Phase::Gone || attempts.iter().any(|(_, a)| a.exchange == *id));
@@ -590,88 +596,98 @@
         self.names.retain(|_, id| exchanges.contains_key(id));
     }
 
-    /// A deadline of the engine is due.
-    pub fn wake<D: From<Wake>>(&mut self, now: Duration, wake: Wake, d: &mut Deadlines<D>) {
-        match wake {
-            Wake::Controller(timer) => self.pending.push_back(Event::Timer(timer)),
-            Wake::Attempt(attempt) => {
+    /// Handles a timer of the engine that is due.
+    pub fn timer_due<D: From<EngineTimer>>(
+        &mut self,
+        now: Duration,
+        due: EngineTimer,
+        timers: &mut TimerQueue<D>,
+    ) {
+        match due {
+            EngineTimer::Controller(timer) => self.pending.push_back(Event::Timer(timer)),
+            EngineTimer::AttemptTimeout(attempt) => {
                 if self.attempts.get(attempt.0).is_some_and(|a| !a.stands) {
-                    self.commands.push_back(Command::GiveUp(attempt));
-                    self.attempts_over(now, attempt, End::TimedOut, false);
+                    self.commands.push_back(Command::CancelAttempt(attempt));
+                    self.attempts_over(now, attempt, EndReason::TimedOut, false);
                 }
             }
-            Wake::Answer(call) => self.last_moment(now, call, d),
-            Wake::Review(exchange) => self.review(now, exchange, d),
+            EngineTimer::AnswerDeadline(call) => self.last_moment(now, call, timers),
+            EngineTimer::Review(exchange) => self.review(now, exchange, timers),
         }
-        self.run(now, d);
+        self.run(now, timers);
     }
 
     /// The caller is about to give up and no answer has been given: it is refused.
-    fn last_moment<D: From<Wake>>(&mut self, now: Duration, call: CallToken, d: &mut Deadlines<D>) {
+    fn last_moment<D: From<EngineTimer>>(
+        &mut self,
+        now: Duration,
+        call: CallToken,
+        timers: &mut TimerQueue<D>,
+    ) {
         let Some(c) = self.calls.get(call.0) else {
             return;
         };
         let attempt = c.attempt;
-        if attempt.is_some_and(|a| self.stands(a)) {
+        if attempt.is_some_and(|a| self.is_answered(a)) {
             return;
         }
         if let Some(attempt) = attempt {
             // The controller may still have its say: it hears of a time-out first.
-            self.commands.push_back(Command::GiveUp(attempt));
-            self.attempts_over(now, attempt, End::TimedOut, false);
-            self.run(now, d);
+            self.commands.push_back(Command::CancelAttempt(attempt));
+            self.attempts_over(now, attempt, EndReason::TimedOut, false);
+            self.run(now, timers);
         }
         if let Some(c) = self.calls.remove(call.0) {
             self.count(c.class, |r| &mut r.declined);
             self.note_refused(&c);
-            self.pending.push_back(Event::CallerGone(CallId(call.0.bits())));
-            let stay = self.stay_away();
+            self.pending.push_back(Event::CallerAbandoned(CallId(call.0.bits())));
+            let stay = self.max_retry_after();
             self.commands.push_back(Command::Refuse(call, stay));
         }
     }
 
     /// Whatever has stood at an exchange since `until` or before is over. News may be late: what its new process has
     /// answered since it started goes on.
-    fn lose<D: From<Wake>>(
+    fn lose<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         until: Duration,
-        d: &mut Deadlines<D>,
+        timers: &mut TimerQueue<D>,
     ) {
         let there = self.attempts.iter().filter(|(_, a)| a.exchange == exchange && a.stands);
         let there = there.filter(|(_, a)| a.stood <= until);
         let there: Vec<_> = there.map(|(t, _)| AttemptToken(t)).collect();
         for attempt in there {
-            self.commands.push_back(Command::Forget(attempt));
-            self.attempt_ended(now, attempt, End::Cut, d);
+            self.commands.push_back(Command::ForgetAttempt(attempt));
+            self.attempt_ended(now, attempt, EndReason::Dropped, timers);
         }
     }
 
     /// Ends the attempt of a call that is already over on the caller's side.
-    fn end_attempt<D: From<Wake>>(
+    fn end_attempt<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         attempt: Option<AttemptToken>,
-        end: End,
-        settled: bool,
-        d: &mut Deadlines<D>,
+        end: EndReason,
+        call_ended: bool,
+        timers: &mut TimerQueue<D>,
     ) {
         if let Some(token) = attempt {
             if let Some(a) = self.attempts.get(token.0) {
                 self.commands.push_back(if a.stands {
-                    Command::ReleaseExchange(token, Cause::Normal)
+                    Command::ReleaseExchange(token, ReleaseCause::Normal)
                 } else {
-                    Command::GiveUp(token)
+                    Command::CancelAttempt(token)
                 });
-                self.attempts_over(now, token, end, settled);
+                self.attempts_over(now, token, end, call_ended);
             }
         }
-        self.run(now, d);
+        self.run(now, timers);
     }
 
     /// Takes an attempt out of the tables and has the controller told.
-    fn attempts_over(&mut self, now: Duration, token: AttemptToken, end: End, settled: bool) {
+    fn attempts_over(&mut self, now: Duration, token: AttemptToken, end: EndReason, call_ended: bool) {
         let Some(a) = self.attempts.remove(token.0) else {
             return;
         };
@@ -682,7 +698,7 @@
         if !a.stands {
             *self.attempt_ends.entry(end.name()).or_default() += 1;
         }
-        self.over(now, a.call, a.number, now.saturating_sub(a.sent), end, settled);
+        self.over(now, a.call, a.number, now.saturating_sub(a.sent), end, call_ended);
     }
 
     fn over(
@@ -691,43 +707,48 @@
         call: CallToken,
         attempt: u32,
         delay: Duration,
-        end: End,
-        settled: bool,
+        end: EndReason,
+        call_ended: bool,
     ) {
-        if let Some(call) = self.calls.get_mut(call.0).filter(|_| end.needs_release_wait()) {
-            call.not_before = now + self.controller.settings().rules.release;
+        if let Some(call) = self.calls.get_mut(call.0).filter(|_| end.needs_release_delay()) {
+            call.not_before = now + self.controller.settings().rules.release_delay;
         }
-        self.pending.push_back(Event::AttemptOver(AttemptEnd {
+        self.pending.push_back(Event::AttemptEnded(AttemptEnd {
             call: CallId(call.0.bits()),
             attempt,
             delay,
             outcome: end.outcome(),
-            settled,
+            call_ended,
         }));
     }
 
-    fn tell<D: From<Wake>>(&mut self, now: Duration, event: Event, d: &mut Deadlines<D>) {
+    fn tell<D: From<EngineTimer>>(&mut self, now: Duration, event: Event, timers: &mut TimerQueue<D>) {
         self.pending.push_back(event);
-        self.run(now, d);
+        self.run(now, timers);
     }
 
     /// Hands the pending events to the controller and carries out what it decides.
-    fn run<D: From<Wake>>(&mut self, now: Duration, d: &mut Deadlines<D>) {
+    fn run<D: From<EngineTimer>>(&mut self, now: Duration, timers: &mut TimerQueue<D>) {
         while let Some(event) = self.pending.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, d);
+                self.carry_out(now, action, timers);
             }
             self.actions = actions;
         }
     }
 
-    fn carry_out<D: From<Wake>>(&mut self, now: Duration, action: Action, d: &mut Deadlines<D>) {
+    fn carry_out<D: From<EngineTimer>>(
+        &mut self,
+        now: Duration,
+        action: Action,
+        timers: &mut TimerQueue<D>,
+    ) {
         let token = |call: CallId| CallToken(Token::from_bits(call.0));
         match action {
             Action::SetUp { call, exchange, timeout } => {
-                self.set_up(now, token(call), exchange, timeout, d)
+                self.set_up(now, token(call), exchange, timeout, timers)
             }
             Action::Refuse { call, retry_after } => {
                 if let Some(c) = self.settle(token(call)) {
@@ -740,11 +761,13 @@
                 if let Some(c) = self.settle(token(call)) {
                     self.count(c.class, |r| &mut r.aborted);
                     self.commands.push_back(Command::Fail(token(call)));
-                    let (call, attempts, last) = (c.offer.id.clone(), c.attempts, c.last_end);
-                    self.notices.push_back(Notice::Failed { call, attempts, last });
+                    let (call, attempts, last) = (c.info.id.clone(), c.attempts, c.last_end);
+                    self.log_events.push_back(LogEvent::Failed { call, attempts, last });
                 }
             }
-            Action::SetTimer { timer, after } => d.set(now + after, Wake::Controller(timer).into()),
+            Action::SetTimer { timer, after } => {
+                timers.schedule(now + after, EngineTimer::Controller(timer).into())
+            }
             // The list comes by itself on every wire spoken here.
             Action::Subscribe => {}
         }
@@ -754,18 +777,18 @@
     fn settle(&mut self, call: CallToken) -> Option<Call> {
         let c = self.calls.remove(call.0)?;
         if let Some(a) = c.attempt.filter(|a| self.attempts.remove(a.0).is_some()) {
-            self.commands.push_back(Command::GiveUp(a));
+            self.commands.push_back(Command::CancelAttempt(a));
         }
         Some(c)
     }
 
-    fn set_up<D: From<Wake>>(
+    fn set_up<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         token: CallToken,
         exchange: ExchangeId,
         timeout: Duration,
-        d: &mut Deadlines<D>,
+        timers: &mut TimerQueue<D>,
     ) {
         let Some(call) = self.calls.get_mut(token.0) else {
             return;
@@ -775,13 +798,13 @@
         let in_service = self.exchanges.get(&exchange).is_some_and(|e| e.phase == Phase::InService);
         let wait = timeout.min(call.answer_by.saturating_sub(now));
         if call.attempt.is_some() || now < call.not_before || !in_service || wait.is_zero() {
-            return self.over(now, token, number, Duration::ZERO, End::NotSent, false);
+            return self.over(now, token, number, Duration::ZERO, EndReason::NotSent, false);
         }
-        let (offer, destination, after) = (Rc::clone(&call.offer), call.destination, call.last_end);
+        let (info, destination, after) = (Rc::clone(&call.info), call.destination, call.last_end);
         if number > 0 {
             self.retries += 1;
-            let (call, exchange) = (offer.id.clone(), self.name(exchange).to_owned());
-            self.notices.push_back(Notice::Retried { call, exchange, attempt: number, after });
+            let (call, exchange) = (info.id.clone(), self.name(exchange).to_owned());
+            self.log_events.push_back(LogEvent::Retried { call, exchange, attempt: number, after });
         }
         let direct = self.number(exchange) == Some(destination);
         let attempt = Attempt {
@@ -799,7 +822,7 @@
         if let Some(call) = self.calls.get_mut(token.0) {
             call.attempt = Some(attempt);
         }
-        d.set(now + wait, Wake::Attempt(attempt).into());
-        self.commands.push_back(Command::SetUp { attempt, exchange, offer, wait });
+        timers.schedule(now + wait, EngineTimer::AttemptTimeout(attempt).into());
+        self.commands.push_back(Command::SetUp { attempt, exchange, info, wait });
     }
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -3,13 +3,13 @@
 //! `engine` owns the life of every call and knows no wire; `net` holds the sockets, a file for each kind
 //! of peer; `config` is the one place where settings come in.
 
+pub mod arena;
 pub mod config;
-pub mod deadlines;
 pub mod end;
 pub mod engine;
-pub mod figures;
 pub mod liveness;
 pub mod log;
+pub mod log_events;
 pub mod net;
-pub mod notices;
-pub mod slots;
+pub mod stats;
+pub mod timers;
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -6,16 +6,16 @@
 //! the process before begins a new incarnation, until an older connection shows that both lead to the same process.
 //! Where the reason is weak, both are assumed to be the same until something speaks against it.
 //!
-//! What stands at an incarnation without a sign of life for [`LOST_AFTER`] is lost, where something speaks against its
+//! What stands at an incarnation without a sign of life for [`DEAD_AFTER`] is lost, where something speaks against its
 //! life as well: dials that failed, set-ups without an answer, checks without a result, or a newer incarnation.
 
-use crate::end::End;
+use crate::end::EndReason;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// What stands at a process without a sign of life for this long is over. The rules leave 8 s from its end, which may
 /// have come right after the last sign; the rest is for the way to the caller and a loop that is late.
-pub const LOST_AFTER: Duration = Duration::from_millis(7200);
+pub const DEAD_AFTER: Duration = Duration::from_millis(7200);
 /// A process is checked this long after the first call stood there, silent or not, to learn its [`Habit`] while it is
 /// sure to live.
 const CHECK_AFTER_AT_FIRST: Duration = Duration::from_millis(500);
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u32);
 
-/// One observation that speaks against the life of the process.
+/// One observation which indicates that the process has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adverse {
+pub enum FailureSign {
     /// A dial was refused or did not come up in time.
     DialFailed,
     /// So many set-ups were given up with nothing heard since they were sent, on a connection to this incarnation that had
@@ -59,19 +59,22 @@
     CheckFailed,
 }
 
-impl Adverse {
-    /// What the end of a dial shows of the exchange. What this side ended or had no socket for shows nothing, and one that
+impl FailureSign {
+    /// The failure sign that the end of a dial amounts to, if any. What this side ended or had no socket for shows nothing, and one that
     /// was reset while new shows that somebody is there.
-    pub fn of_dial(end: End) -> Option<Self> {
-        matches!(end, End::Refused | End::DialTimedOut).then_some(Adverse::DialFailed)
+    pub fn from_dial(end: EndReason) -> Option<Self> {
+        matches!(end, EndReason::ConnectionRefused | EndReason::DialTimedOut)
+            .then_some(FailureSign::DialFailed)
     }
 
     fn weight(self) -> u32 {
         match self {
-            Adverse::Reset | Adverse::MissedReports(_) | Adverse::MissedReportsAtRest(_) => 0,
-            Adverse::DialFailed | Adverse::CheckFailed => 1,
-            Adverse::Unanswered(set_ups, _) | Adverse::UnansweredAtRest(set_ups) => set_ups,
-            Adverse::AllReset(_) => DOUBTED_FROM,
+            FailureSign::Reset | FailureSign::MissedReports(_) | FailureSign::MissedReportsAtRest(_) => {
+                0
+            }
+            FailureSign::DialFailed | FailureSign::CheckFailed => 1,
+            FailureSign::Unanswered(set_ups, _) | FailureSign::UnansweredAtRest(set_ups) => set_ups,
+            FailureSign::AllReset(_) => DOUBTED_FROM,
         }
     }
 
@@ -79,20 +82,22 @@
     /// exchanges close, reset or forget those that rest.
     fn is_interruption(self) -> bool {
         match self {
-            Adverse::DialFailed | Adverse::CheckFailed => true,
-            Adverse::AllReset(_) | Adverse::Unanswered(..) => true,
-            Adverse::Reset | Adverse::UnansweredAtRest(_) => false,
-            Adverse::MissedReports(_) | Adverse::MissedReportsAtRest(_) => false,
+            FailureSign::DialFailed | FailureSign::CheckFailed => true,
+            FailureSign::AllReset(_) | FailureSign::Unanswered(..) => true,
+            FailureSign::Reset | FailureSign::UnansweredAtRest(_) => false,
+            FailureSign::MissedReports(_) | FailureSign::MissedReportsAtRest(_) => false,
         }
     }
 
     /// The incarnation whose own connections it speaks of.
     fn incarnation(self) -> Option<Incarnation> {
         match self {
-            Adverse::Unanswered(_, i) | Adverse::AllReset(i) | Adverse::MissedReports(i) => Some(i),
-            Adverse::DialFailed | Adverse::CheckFailed => None,
-            Adverse::Reset | Adverse::UnansweredAtRest(_) => None,
-            Adverse::MissedReportsAtRest(i) => Some(i),
+            FailureSign::Unanswered(_, i) | FailureSign::AllReset(i) | FailureSign::MissedReports(i) => {
+                Some(i)
+            }
+            FailureSign::DialFailed | FailureSign::CheckFailed => None,
+            FailureSign::Reset | FailureSign::UnansweredAtRest(_) => None,
+            FailureSign::MissedReportsAtRest(i) => Some(i),
         }
     }
 }
@@ -127,8 +132,8 @@
 /// What a review of an exchange comes to.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Review {
-    /// Incarnations whose calls are lost, by the first of each group.
-    pub lost: Vec<Incarnation>,
+    /// Incarnations that are considered dead, by the first of each group; their calls are lost.
+    pub dead: Vec<Incarnation>,
     /// The incarnation to be checked now.
     pub check: Option<Incarnation>,
     /// When to look again.
@@ -170,18 +175,18 @@
     }
 
     /// Whether newer connections than those of an incarnation may lead to another process.
-    pub fn is_followed(&self, incarnation: Incarnation) -> bool {
+    pub fn has_newer(&self, incarnation: Incarnation) -> bool {
         self.index(incarnation).is_none_or(|i| i + 1 < self.groups.len())
     }
 
-    /// Whether something speaks against the life of a process.
-    pub fn is_doubted(&self, incarnation: Incarnation) -> bool {
+    /// Whether a process is suspected to have failed.
+    pub fn is_suspected(&self, incarnation: Incarnation) -> bool {
         let newer = self.index(incarnation).map_or(&self.groups[..], |i| &self.groups[i + 1..]);
         self.adverse > 0 || newer.iter().any(|g| !g.is_assumed_same)
     }
 
-    /// Whether it is known to close in return what is closed on it.
-    pub fn closes_in_return(&self) -> bool {
+    /// Whether it is known to close a connection in response to a close from this side.
+    pub fn closes_in_response(&self) -> bool {
         self.habit == Habit::Closes
     }
 
@@ -227,8 +232,8 @@
         let is_checked = self.checking.is_some_and(|since| newest.began.max(newest.proven) < since);
         let closes = self.habit == Habit::Closes;
         let is_stall = !self.has_dead_connection && now < self.last_proven() + STALLS_FOR;
-        let is_doubted = self.adverse >= DOUBTED_FROM && !is_stall;
-        let is_told_apart = newest.is_interrupted && (closes || is_doubted);
+        let is_suspected = self.adverse >= DOUBTED_FROM && !is_stall;
+        let is_told_apart = newest.is_interrupted && (closes || is_suspected);
         if is_told_apart || is_checked && self.is_conclusive && closes {
             return self.begin(now, false);
         }
@@ -243,13 +248,13 @@
     /// whoever speaks first on each, and has not done so yet.
     fn came_up(&mut self, now: Duration, incarnation: Incarnation, is_stall: bool) -> Incarnation {
         if !self.greets && (!self.is_suspect || is_stall) {
-            self.heard(now, incarnation);
+            self.record_activity(now, incarnation);
         }
         incarnation
     }
 
     /// A sign of life on a connection of an incarnation: connections that came up since lead to the same process.
-    pub fn heard(&mut self, now: Duration, incarnation: Incarnation) {
+    pub fn record_activity(&mut self, now: Duration, incarnation: Incarnation) {
         let Some(index) = self.index(incarnation) else {
             return;
         };
@@ -268,26 +273,26 @@
         self.groups.len().checked_sub(1).map_or(Duration::ZERO, |last| self.proven(last))
     }
 
-    /// The peer has closed a connection in good order; `asked`: it was closed on it before.
-    pub fn closed(&mut self, now: Duration, incarnation: Incarnation, asked: bool) {
-        if asked {
+    /// The peer has closed a connection in good order; `in_response`: this side had closed it before.
+    pub fn peer_closed(&mut self, now: Duration, incarnation: Incarnation, in_response: bool) {
+        if in_response {
             self.habit = Habit::Closes;
         }
-        self.heard(now, incarnation);
+        self.record_activity(now, incarnation);
     }
 
-    /// The peer said something as soon as a connection was up.
-    pub fn greeted(&mut self) {
+    /// The peer sent data first on a new connection.
+    pub fn peer_spoke_first(&mut self) {
         self.greets = true;
     }
 
-    /// Takes in what speaks against the life of the process.
-    pub fn adverse(&mut self, observation: Adverse) {
+    /// Records a sign that the process has failed.
+    pub fn record_failure_sign(&mut self, observation: FailureSign) {
         if observation.is_interruption() {
             self.groups.iter_mut().for_each(|g| g.is_interrupted = true);
         }
         let index = observation.incarnation().and_then(|i| self.index(i));
-        let is_at_rest = matches!(observation, Adverse::MissedReportsAtRest(_));
+        let is_at_rest = matches!(observation, FailureSign::MissedReportsAtRest(_));
         match index.filter(|i| i + 1 < self.groups.len()) {
             Some(index) if is_at_rest && !self.groups[index].is_interrupted => {}
             Some(index) => self.tell_apart(index),
@@ -312,9 +317,9 @@
         let there: Vec<_> =
             (0..self.groups.len()).filter(|i| with_calls.contains(&self.groups[*i].first)).collect();
         let is_lost =
-            |i: &usize| now >= self.proven(*i) + LOST_AFTER && self.is_doubted(self.groups[*i].first);
-        let (lost, live): (Vec<_>, Vec<_>) = there.into_iter().partition(is_lost);
-        let lost = lost.into_iter().map(|i| self.groups[i].first).collect();
+            |i: &usize| now >= self.proven(*i) + DEAD_AFTER && self.is_suspected(self.groups[*i].first);
+        let (dead, live): (Vec<_>, Vec<_>) = there.into_iter().partition(is_lost);
+        let dead = dead.into_iter().map(|i| self.groups[i].first).collect();
         // What is assumed of a process is looked into as well: its own signs of life count here.
         let oldest = live.iter().copied().min_by_key(|i| self.groups[*i].proven);
         let check = oldest.filter(|i| now >= self.next_check(now, *i));
@@ -322,12 +327,12 @@
             self.asked = Some(now);
         }
         let next = self.next_review(now, oldest, &live);
-        Review { lost, check: check.map(|i| self.groups[i].first), next }
+        Review { dead, check: check.map(|i| self.groups[i].first), next }
     }
 
     /// A check that was asked for has begun. Without one that could begin, silence proves nothing.
     /// `is_conclusive`: the connection that is closed for it had been in use.
-    pub fn began_check(&mut self, now: Duration, is_conclusive: bool) {
+    pub fn check_started(&mut self, now: Duration, is_conclusive: bool) {
         self.checking = Some(now);
         self.is_conclusive = is_conclusive;
     }
@@ -360,7 +365,7 @@
             return;
         };
         if self.proven(index) < since {
-            self.adverse(Adverse::CheckFailed);
+            self.record_failure_sign(FailureSign::CheckFailed);
         } else if self.habit == Habit::Closes
             && index + 1 < self.groups.len()
             && (self.is_conclusive || self.groups[index].is_interrupted)
@@ -370,10 +375,10 @@
     }
 
     fn next_review(&self, now: Duration, oldest: Option<usize>, live: &[usize]) -> Duration {
-        let lost = live.iter().map(|i| self.proven(*i) + LOST_AFTER);
+        let dead_at = live.iter().map(|i| self.proven(*i) + DEAD_AFTER);
         let check = oldest.map(|i| self.next_check(now, i));
         let settled = self.checking.map(|since| since + CHECK_TAKES);
-        let due = lost.chain(check).chain(settled).filter(|at| *at > now).min();
+        let due = dead_at.chain(check).chain(settled).filter(|at| *at > now).min();
         due.map_or(now + CHECK_TAKES, |at| at.min(now + CHECK_TAKES * 2))
     }
 }
@@ -391,19 +396,25 @@
         let with_calls = BTreeSet::from([with]);
         (from..from + 30_000).step_by(50).find(|at| {
             let review = liveness.review(ms(*at), &with_calls);
-            review.check.iter().for_each(|_| liveness.began_check(ms(*at), true));
-            !review.lost.is_empty()
+            review.check.iter().for_each(|_| liveness.check_started(ms(*at), true));
+            !review.dead.is_empty()
         })
     }
 
     /// Guards against doubt in an exchange since a connection was reset while new, or could not be made from here.
     #[test]
     fn only_a_dial_that_was_refused_or_never_came_up_speaks_against_an_exchange() {
-        for end in [End::NeverUp, End::NoSocket, End::ClosedHere, End::Closed, End::Broken] {
-            assert_eq!(Adverse::of_dial(end), None, "{end}");
+        for end in [
+            EndReason::ResetBeforeUse,
+            EndReason::NoSocket,
+            EndReason::ClosedLocally,
+            EndReason::PeerClosed,
+            EndReason::ConnectionBroken,
+        ] {
+            assert_eq!(FailureSign::from_dial(end), None, "{end}");
         }
-        for end in [End::Refused, End::DialTimedOut] {
-            assert_eq!(Adverse::of_dial(end), Some(Adverse::DialFailed), "{end}");
+        for end in [EndReason::ConnectionRefused, EndReason::DialTimedOut] {
+            assert_eq!(FailureSign::from_dial(end), Some(FailureSign::DialFailed), "{end}");
         }
     }
 
@@ -416,14 +427,14 @@
         let due = Review { next: ms(500), ..Review::default() };
         assert_eq!(liveness.review(ms(0), &with_calls), due);
         assert_eq!(liveness.review(ms(500), &with_calls).check, Some(one));
-        liveness.began_check(ms(500), true);
+        liveness.check_started(ms(500), true);
         assert_eq!(liveness.review(ms(550), &with_calls).check, None, "one at a time");
         let new = liveness.connected(ms(600));
         assert_eq!(liveness.silent_for(ms(600), one), ms(0), "assumed to be the same");
         assert_eq!(liveness.review(ms(1500), &with_calls).next, ms(2500), "it has not closed in return");
         assert_eq!(liveness.review(ms(2500), &with_calls).check, Some(one));
         assert_eq!(liveness.connected(ms(2700)), new);
-        assert!(!liveness.is_doubted(one) && liveness.review(ms(9000), &with_calls).lost.is_empty());
+        assert!(!liveness.is_suspected(one) && liveness.review(ms(9000), &with_calls).dead.is_empty());
     }
 
     /// Guards against a loss long before the rules ask for it, or after.
@@ -431,8 +442,8 @@
     fn what_is_doubted_is_lost_in_time() {
         let mut liveness = Liveness::default();
         let one = liveness.connected(ms(0));
-        liveness.heard(ms(1000), one);
-        liveness.adverse(Adverse::DialFailed);
+        liveness.record_activity(ms(1000), one);
+        liveness.record_failure_sign(FailureSign::DialFailed);
         assert_eq!(lost_at(&mut liveness, 3500, one), Some(8200));
     }
 
@@ -440,7 +451,7 @@
     #[test]
     fn a_connection_that_comes_up_proves_nothing_of_whoever_speaks_first() {
         let mut liveness = Liveness::default();
-        liveness.greeted();
+        liveness.peer_spoke_first();
         let one = liveness.connected(ms(0));
         assert_eq!(liveness.connected(ms(2500)), one);
         assert_eq!(lost_at(&mut liveness, 2500, one), Some(7200));
@@ -451,11 +462,11 @@
     fn after_an_outage_only_the_old_connections_prove_the_old_process() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
-        liveness.adverse(Adverse::DialFailed);
-        liveness.adverse(Adverse::Unanswered(1, old));
+        liveness.record_failure_sign(FailureSign::DialFailed);
+        liveness.record_failure_sign(FailureSign::Unanswered(1, old));
         let new = liveness.connected(ms(3100));
-        assert!(new != old && liveness.is_doubted(old) && !liveness.is_doubted(new));
-        liveness.heard(ms(3200), new);
+        assert!(new != old && liveness.is_suspected(old) && !liveness.is_suspected(new));
+        liveness.record_activity(ms(3200), new);
         assert_eq!(liveness.connected(ms(3300)), new, "more of them lead to the same process");
         assert_eq!(lost_at(&mut liveness, 3300, old), Some(7200));
         assert_eq!(liveness.group(new), new);
@@ -468,10 +479,10 @@
         for (back, is_same) in [(4500, true), (5000, false)] {
             let mut liveness = Liveness::default();
             let old = liveness.connected(ms(0));
-            (0..3).for_each(|_| liveness.adverse(Adverse::DialFailed));
+            (0..3).for_each(|_| liveness.record_failure_sign(FailureSign::DialFailed));
             let new = liveness.connected(ms(back));
-            liveness.heard(ms(back), new);
-            assert_eq!(liveness.is_doubted(old), !is_same, "{back}");
+            liveness.record_activity(ms(back), new);
+            assert_eq!(liveness.is_suspected(old), !is_same, "{back}");
         }
     }
 
@@ -480,11 +491,11 @@
     fn an_old_connection_that_speaks_shows_that_it_is_the_same_process() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
-        liveness.adverse(Adverse::AllReset(old));
+        liveness.record_failure_sign(FailureSign::AllReset(old));
         let new = liveness.connected(ms(4100));
-        liveness.heard(ms(4200), old);
+        liveness.record_activity(ms(4200), old);
         assert_eq!(liveness.group(new), old);
-        assert!(!liveness.is_followed(old));
+        assert!(!liveness.has_newer(old));
     }
 
     /// Guards against trust in a connection that comes up after an interruption while the old ones are not closed in
@@ -493,11 +504,11 @@
     fn whoever_closes_in_return_is_told_apart_after_one_dial_that_failed() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
-        liveness.closed(ms(10), old, true);
-        liveness.adverse(Adverse::DialFailed);
+        liveness.peer_closed(ms(10), old, true);
+        liveness.record_failure_sign(FailureSign::DialFailed);
         let new = liveness.connected(ms(3520));
-        assert!(liveness.is_doubted(old) && !liveness.is_doubted(new));
-        liveness.closed(ms(3530), old, true);
+        assert!(liveness.is_suspected(old) && !liveness.is_suspected(new));
+        liveness.peer_closed(ms(3530), old, true);
         assert_eq!(liveness.group(new), old, "it has closed in return");
     }
 
@@ -507,14 +518,14 @@
     fn without_an_interruption_dead_connections_are_forgotten_ones() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
-        liveness.closed(ms(10), old, true);
-        liveness.began_check(ms(2010), false);
+        liveness.peer_closed(ms(10), old, true);
+        liveness.check_started(ms(2010), false);
         let new = liveness.connected(ms(2020));
-        liveness.heard(ms(2030), new);
-        liveness.adverse(Adverse::UnansweredAtRest(3));
-        liveness.heard(ms(2500), new);
+        liveness.record_activity(ms(2030), new);
+        liveness.record_failure_sign(FailureSign::UnansweredAtRest(3));
+        liveness.record_activity(ms(2500), new);
         liveness.review(ms(3100), &BTreeSet::from([old]));
-        assert!(!liveness.is_doubted(old));
+        assert!(!liveness.is_suspected(old));
         assert_eq!(liveness.silent_for(ms(2500), old), ms(0));
     }
 
@@ -523,16 +534,18 @@
     #[test]
     fn after_one_adverse_observation_connections_are_assumed_to_lead_to_the_same_process() {
         let first = Incarnation(0);
-        for observation in [Adverse::DialFailed, Adverse::Unanswered(1, first), Adverse::Reset] {
+        for observation in
+            [FailureSign::DialFailed, FailureSign::Unanswered(1, first), FailureSign::Reset]
+        {
             let mut liveness = Liveness::default();
             let old = liveness.connected(ms(0));
-            liveness.adverse(observation);
+            liveness.record_failure_sign(observation);
             let new = liveness.connected(ms(2600));
-            liveness.heard(ms(6000), new);
-            assert!(new != old && !liveness.is_doubted(old));
+            liveness.record_activity(ms(6000), new);
+            assert!(new != old && !liveness.is_suspected(old));
             assert_eq!(liveness.silent_for(ms(6000), old), ms(0));
-            liveness.adverse(Adverse::MissedReports(old));
-            assert!(liveness.is_doubted(old) && !liveness.is_doubted(new), "{observation:?}");
+            liveness.record_failure_sign(FailureSign::MissedReports(old));
+            assert!(liveness.is_suspected(old) && !liveness.is_suspected(new), "{observation:?}");
             assert_eq!(lost_at(&mut liveness, 6000, old), Some(7200));
         }
     }
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -29,11 +29,11 @@
 
     /// Writes a line of a kind, unless too many of that kind were written lately.
     pub fn line(&mut self, now: Duration, kind: &'static str, text: impl Display) {
-        self.limited(now, kind, MOST, text);
+        self.line_limited(now, kind, MOST, text);
     }
 
     /// The same for a kind of which so many lines may be written in one span.
-    pub fn limited(&mut self, now: Duration, kind: &'static str, most: u32, text: impl Display) {
+    pub fn line_limited(&mut self, now: Duration, kind: &'static str, most: u32, text: impl Display) {
         let k = self.kinds.entry(kind).or_insert(Kind { since: now, written: 0, left_out: 0 });
         if now >= k.since + SPAN {
             if k.left_out > 0 {
--- a/node/src/notices.rs
+++ b/node/src/log_events.rs
@@ -1,14 +1,14 @@
-//! What the engine has to say for the log: transitions and ends, each with its ids and its reason.
+//! The log events of the engine: transitions and ends, each with its ids and its reason.
 
-use crate::end::End;
-use crate::liveness::Adverse;
+use crate::end::EndReason;
+use crate::liveness::FailureSign;
 use slateshed::Phase;
 use std::fmt;
 use std::time::Duration;
 
-/// One thing that happened in the engine.
+/// One event of the engine for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum LogEvent {
     /// A call that stood is over, and its caller is being told.
     Released {
         /// The caller's id of the call.
@@ -16,7 +16,7 @@
         /// Where it stood.
         exchange: String,
         /// Why it is over.
-        why: End,
+        why: EndReason,
         /// For how long it stood.
         stood: Duration,
     },
@@ -27,7 +27,7 @@
         /// Set-ups that were sent for it.
         attempts: u32,
         /// How the last one ended.
-        last: Option<End>,
+        last: Option<EndReason>,
     },
     /// A call has failed.
     Failed {
@@ -36,7 +36,7 @@
         /// Set-ups that were sent for it.
         attempts: u32,
         /// How the last one ended.
-        last: Option<End>,
+        last: Option<EndReason>,
     },
     /// A call is set up again.
     Retried {
@@ -47,26 +47,26 @@
         /// Which of its attempts this is, from 0.
         attempt: u32,
         /// How the one before ended.
-        after: Option<End>,
+        after: Option<EndReason>,
     },
-    /// Something speaks against the life of an exchange at which calls stand.
-    Doubted {
+    /// An exchange with established calls is suspected to have failed.
+    Suspected {
         /// The exchange.
         exchange: String,
         /// What was observed.
-        observation: Adverse,
+        observation: FailureSign,
         /// For how long there had been no sign of life.
         silent: Duration,
     },
     /// A connection came up that may lead to another process than the ones before.
-    Followed {
+    NewIncarnation {
         /// The exchange.
         exchange: String,
         /// It is assumed to be the same process until something speaks against it.
         is_assumed_same: bool,
     },
     /// A process has given no sign of life for too long: its calls are released.
-    Lost {
+    ExchangeDead {
         /// The exchange.
         exchange: String,
         /// How many calls stood there.
@@ -74,8 +74,8 @@
         /// For how long there had been no sign of life.
         silent: Duration,
     },
-    /// The list has changed what an exchange is doing.
-    Listed {
+    /// An update of the list changed the phase of an exchange.
+    PhaseChanged {
         /// The exchange.
         exchange: String,
         /// What it did before; none where it is new.
@@ -87,25 +87,25 @@
     },
 }
 
-impl Notice {
+impl LogEvent {
     /// The kind of the log's line.
     pub fn kind(&self) -> &'static str {
         match self {
-            Notice::Released { .. } => "call-released",
-            Notice::Refused { .. } => "call-refused",
-            Notice::Failed { .. } => "call-failed",
-            Notice::Retried { .. } => "call-retried",
-            Notice::Doubted { .. } => "exchange-doubted",
-            Notice::Followed { .. } => "exchange-followed",
-            Notice::Lost { .. } => "exchange-lost",
-            Notice::Listed { .. } => "exchange-listed",
+            LogEvent::Released { .. } => "call-released",
+            LogEvent::Refused { .. } => "call-refused",
+            LogEvent::Failed { .. } => "call-failed",
+            LogEvent::Retried { .. } => "call-retried",
+            LogEvent::Suspected { .. } => "exchange-doubted",
+            LogEvent::NewIncarnation { .. } => "exchange-followed",
+            LogEvent::ExchangeDead { .. } => "exchange-lost",
+            LogEvent::PhaseChanged { .. } => "exchange-listed",
         }
     }
 
-    /// How many lines of its kind may be written in one span of the log.
-    pub fn most(&self) -> u32 {
+    /// Maximum number of lines of this kind in one rate limit interval of the log.
+    pub fn max_lines(&self) -> u32 {
         match self {
-            Notice::Released { .. } => MOST_RELEASES,
+            LogEvent::Released { .. } => MOST_RELEASES,
             _ => MOST_OTHERS,
         }
     }
@@ -117,7 +117,7 @@
 const MOST_OTHERS: u32 = 10;
 
 /// How an attempt ended, where there was one.
-struct Last<'a>(&'a Option<End>);
+struct Last<'a>(&'a Option<EndReason>);
 
 impl fmt::Display for Last<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -128,28 +128,28 @@
     }
 }
 
-impl fmt::Display for Notice {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::Released { call, exchange, why, stood } => {
+            LogEvent::Released { call, exchange, why, stood } => {
                 write!(f, "call={call} exchange={exchange} why=\"{why}\" stood_ms={}", stood.as_millis())
             }
-            Notice::Refused { call, attempts, last } | Notice::Failed { call, attempts, last } => {
+            LogEvent::Refused { call, attempts, last } | LogEvent::Failed { call, attempts, last } => {
                 write!(f, "call={call} attempts={attempts} last=\"{}\"", Last(last))
             }
-            Notice::Retried { call, exchange, attempt, after } => {
+            LogEvent::Retried { call, exchange, attempt, after } => {
                 write!(f, "call={call} exchange={exchange} attempt={attempt} after=\"{}\"", Last(after))
             }
-            Notice::Doubted { exchange, observation, silent } => {
+            LogEvent::Suspected { exchange, observation, silent } => {
                 write!(f, "exchange={exchange} by={observation:?} silent_ms={}", silent.as_millis())
             }
-            Notice::Followed { exchange, is_assumed_same } => {
+            LogEvent::NewIncarnation { exchange, is_assumed_same } => {
                 write!(f, "exchange={exchange} assumed_same={is_assumed_same}")
             }
-            Notice::Lost { exchange, calls, silent } => {
+            LogEvent::ExchangeDead { exchange, calls, silent } => {
                 write!(f, "exchange={exchange} calls={calls} silent_ms={}", silent.as_millis())
             }
-            Notice::Listed { exchange, from, to, restarted } => {
+            LogEvent::PhaseChanged { exchange, from, to, restarted } => {
                 write!(f, "exchange={exchange} from={from:?} to={to:?} restarted={restarted}")
             }
         }
@@ -163,15 +163,15 @@
     /// Guards against lines that lack the id to follow a call by, or the reason.
     #[test]
     fn a_notice_names_ids_and_reasons() {
-        let notice = Notice::Released {
+        let notice = LogEvent::Released {
             call: "9b1f".to_owned(),
             exchange: "s-one".to_owned(),
-            why: End::Cut,
+            why: EndReason::Dropped,
             stood: Duration::from_millis(1500),
         };
         let line = format!("{}: {notice}", notice.kind());
         insta::assert_snapshot!(line, @r#"call-released: call=9b1f exchange=s-one why="cut" stood_ms=1500"#);
-        let notice = Notice::Refused { call: "9b1f".to_owned(), attempts: 0, last: None };
+        let notice = LogEvent::Refused { call: "9b1f".to_owned(), attempts: 0, last: None };
         insta::assert_snapshot!(notice.to_string(), @r#"call=9b1f attempts=0 last="none""#);
     }
 }
--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -1,12 +1,12 @@
 //! The callers' side of the platform's wire.
 
 use super::conn::Conn;
-use super::lines::{figure, is_hex, line, Message};
-use super::{duty, Context, Due, Kind, ACCEPTS, SAY_WITHIN};
-use crate::config::{Limits, Words};
-use crate::end::End;
-use crate::engine::{CallToken, Cause, Command, Incoming, Offer};
-use crate::slots::{Slots, Token};
+use super::lines::{is_hex, line, list_value, Message};
+use super::{lifecycle, Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
+use crate::arena::{Arena, Token};
+use crate::config::{Limits, WireConfig};
+use crate::end::EndReason;
+use crate::engine::{CallInfo, CallToken, Command, IncomingCall, ReleaseCause};
 use mio::net::{TcpListener, TcpStream};
 use mio::Interest;
 use slateshed::{DialledNumber, ExchangeNumber, Origin};
@@ -91,14 +91,14 @@
     /// None once what arrives is left to another process.
     listener: Option<TcpListener>,
     limits: Limits,
-    conns: Slots<Client>,
+    conns: Arena<Client>,
     calls: HashMap<CallToken, Known>,
     /// Calls whose answer is owed.
     owed: usize,
     by_tag: HashMap<String, CallToken>,
     /// Releases that found no connection.
     unsent: VecDeque<Release>,
-    doomed: Vec<(Token, End)>,
+    doomed: Vec<(Token, EndReason)>,
     /// Connections that had more to read than one turn allows.
     unread: Vec<Token>,
     /// There is no room, so nothing is accepted for a moment.
@@ -113,7 +113,7 @@
         Clients {
             listener: Some(listener),
             limits,
-            conns: Slots::default(),
+            conns: Arena::default(),
             calls: HashMap::new(),
             owed: 0,
             by_tag: HashMap::new(),
@@ -142,7 +142,7 @@
 
     /// Whether a set-up has begun to come that is not whole.
     pub fn is_asked(&self) -> bool {
-        self.conns.iter().any(|(_, c)| c.conn.has_part())
+        self.conns.iter().any(|(_, c)| c.conn.has_partial_line())
     }
 
     /// Leaves what arrives from now on to the process that replaces this one.
@@ -157,9 +157,9 @@
         if self.paused {
             return;
         }
-        for _ in 0..ACCEPTS {
+        for _ in 0..ACCEPT_BATCH {
             let held = self.conns.len();
-            if held >= self.limits.most_clients() && !self.make_way(cx) {
+            if held >= self.limits.max_clients() && !self.make_way(cx) {
                 cx.log.line(cx.now, "accept-paused", format_args!("{held} clients"));
                 return self.pause(cx);
             }
@@ -168,7 +168,7 @@
             };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    if held >= self.limits.clients() {
+                    if held >= self.limits.idle_clients_from() {
                         self.make_way(cx);
                     }
                     self.add(stream, peer.ip(), cx);
@@ -196,7 +196,7 @@
 
     fn pause(&mut self, cx: &mut Context) {
         self.paused = true;
-        cx.deadlines.set(cx.now + ACCEPT_AGAIN, Due::Accept);
+        cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::Accept);
     }
 
     /// Closes a connection that nobody is owed an answer on: first one whose calls are all over, which loses nothing
@@ -217,17 +217,17 @@
             "client-closed",
             format_args!("{peer} why=\"makes way\" standing={standing}"),
         );
-        self.end(token, End::ClosedHere, cx);
+        self.end(token, EndReason::ClosedLocally, cx);
         true
     }
 
     fn add(&mut self, mut stream: TcpStream, peer: IpAddr, cx: &mut Context) {
         let now = cx.now;
-        let (registry, bounds) = (cx.registry, self.limits.client_bounds());
+        let (registry, bounds) = (cx.registry, self.limits.client_buffer_limits());
         let mut registered = Ok(());
         let token = self.conns.insert_with(|token| {
             let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, Kind::Client.token(token), both);
+            registered = registry.register(&mut stream, SourceKind::Client.token(token), both);
             Client {
                 conn: Conn::new(stream, bounds, true),
                 peer,
@@ -248,7 +248,7 @@
             self.conns.remove(token);
             return;
         }
-        cx.deadlines.set(now + SAY_WITHIN, Due::Client(token));
+        cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::Client(token));
         self.send_kept(token, Some(peer), now);
     }
 
@@ -270,18 +270,20 @@
             return;
         };
         let idle = client.open == 0 && !client.answered;
-        let unfinished = client.awaited.filter(|_| client.answered || client.conn.has_part());
+        let unfinished = client.awaited.filter(|_| client.answered || client.conn.has_partial_line());
         let next = match unfinished {
-            Some(since) if cx.now >= since + SAY_WITHIN => return self.end(token, End::Silent, cx),
-            Some(since) => since + SAY_WITHIN,
-            None if idle => return self.end(token, End::Silent, cx),
+            Some(since) if cx.now >= since + MESSAGE_TIMEOUT => {
+                return self.end(token, EndReason::PeerSilent, cx)
+            }
+            Some(since) => since + MESSAGE_TIMEOUT,
+            None if idle => return self.end(token, EndReason::PeerSilent, cx),
             None if !client.answered => cx.now + LOOK_AGAIN,
             None => {
                 client.watched = false;
                 return;
             }
         };
-        cx.deadlines.set(next, Due::Client(token));
+        cx.timers.schedule(next, TimerEvent::Client(token));
     }
 
     /// Whether a connection has more to read than its last turn allowed, or more wait to be accepted.
@@ -306,7 +308,7 @@
         }
     }
 
-    fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), End> {
+    fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), EndReason> {
         for _ in 0..READS {
             let Some(client) = self.conns.get_mut(token) else {
                 return Ok(());
@@ -315,7 +317,7 @@
             let read = client.conn.fill();
             client.last_heard = cx.now;
             // What came before the end of the stream still counts.
-            while let Some(text) = self.conns.get_mut(token).map_or(Ok(None), |c| c.conn.line())? {
+            while let Some(text) = self.conns.get_mut(token).map_or(Ok(None), |c| c.conn.next_line())? {
                 if let Some(client) = self.conns.get_mut(token) {
                     client.awaited = None;
                 }
@@ -335,28 +337,28 @@
 
     /// Sees to it that a message which has begun gets whole.
     fn watch(&mut self, token: Token, cx: &mut Context) {
-        if let Some(client) = self.conns.get_mut(token).filter(|c| c.conn.has_part()) {
+        if let Some(client) = self.conns.get_mut(token).filter(|c| c.conn.has_partial_line()) {
             client.awaited.get_or_insert(cx.now);
             if !client.watched {
                 client.watched = true;
-                cx.deadlines.set(cx.now + SAY_WITHIN, Due::Client(token));
+                cx.timers.schedule(cx.now + MESSAGE_TIMEOUT, TimerEvent::Client(token));
             }
         }
     }
 
-    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), End> {
+    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
         match message.verb.as_str() {
             "START" => self.start(token, message, cx),
             "FINISH" => {
                 if let Some(call) = self.by_tag.get(&message.tag).copied() {
                     self.is_caller(token);
                     self.forget(call);
-                    cx.engine.caller_ends(cx.now, call, cx.deadlines);
+                    cx.engine.caller_ended(cx.now, call, cx.timers);
                 }
                 Ok(())
             }
             "ECHO" => {
-                let passed = u32::from(cx.duty.is_ready());
+                let passed = u32::from(cx.lifecycle.is_ready());
                 self.answer(token, &line("ECHOED", &message.tag, &[], Some(passed), None));
                 Ok(())
             }
@@ -369,27 +371,27 @@
                 Ok(())
             }
             "PENDING" => Ok(()),
-            _ => Err(End::Garbage),
+            _ => Err(EndReason::MalformedMessage),
         }
     }
 
-    fn start(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), End> {
+    fn start(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
         let Some(client) = self.conns.get(token) else {
             return Ok(());
         };
         // Without an id of its own a set-up can't be answered; forwarded, it would cost the connection to the
         // exchange, whatever else is open there.
         if !is_hex(&message.tag) {
-            return Err(End::Garbage);
+            return Err(EndReason::MalformedMessage);
         }
         if self.by_tag.contains_key(&message.tag) {
             // Answered under the id, it would look like the answer to the call that has it.
             cx.log.line(cx.now, "set-up-twice", &message.tag);
-            return Err(End::Garbage);
+            return Err(EndReason::MalformedMessage);
         }
         let peer = client.peer;
         let tag = message.tag.clone();
-        let new = match incoming(message, cx.words) {
+        let new = match incoming(message, cx.wire) {
             Ok(new) => new,
             Err(field) => {
                 // Its caller has an id to be answered by, so it costs the call and not the connection.
@@ -398,18 +400,19 @@
                 return Ok(());
             }
         };
-        let drained = match cx.duty.clients(cx.now) {
-            duty::Clients::Stay => false,
-            duty::Clients::Close(old) => self.stays_for_calls(token, old),
-            duty::Clients::Refuse(_) => true,
+        let drained = match cx.lifecycle.client_policy(cx.now) {
+            lifecycle::ClientPolicy::Keep => false,
+            lifecycle::ClientPolicy::Close(old) => self.stays_for_calls(token, old),
+            lifecycle::ClientPolicy::Refuse(_) => true,
         };
         if drained || self.owed >= self.limits.calls() {
             if !drained {
                 cx.log.line(cx.now, "too-many-calls", format_args!("{} owed", self.owed));
             }
-            cx.engine.turned_away(new.class);
+            cx.engine.count_refused(new.class);
             // There is nothing to wait for at one that is drained: others take the call at once.
-            let wait = cx.engine.stay_away().filter(|_| !drained).map(|s| s.as_millis().to_string());
+            let wait =
+                cx.engine.max_retry_after().filter(|_| !drained).map(|s| s.as_millis().to_string());
             let opts: Vec<_> = wait.iter().map(|w| ("wait", w.as_str())).collect();
             self.answer(token, &line("FINISH", &tag, &opts, Some(REFUSED), None));
         } else {
@@ -417,7 +420,7 @@
                 client.open += 1;
             }
             self.owed += 1;
-            let call = cx.engine.call(cx.now, new, cx.deadlines);
+            let call = cx.engine.new_call(cx.now, new, cx.timers);
             self.by_tag.insert(tag.clone(), call);
             self.calls.insert(call, Known { tag, conn: token, peer, owed: true, stands: false });
         }
@@ -483,7 +486,7 @@
                 let Some(k) = self.forget(call) else {
                     return;
                 };
-                let cause = if cause == Cause::Normal { ENDED } else { CUT };
+                let cause = if cause == ReleaseCause::Normal { ENDED } else { CUT };
                 let conn = self.way_back(k.conn, k.peer);
                 if conn.is_none() {
                     let why = "no connection of its caller";
@@ -542,9 +545,11 @@
         for (token, end) in std::mem::take(&mut self.doomed) {
             self.end(token, end, cx);
         }
-        match cx.duty.clients(cx.now) {
-            duty::Clients::Stay => {}
-            duty::Clients::Close(old) | duty::Clients::Refuse(old) => self.close_idle(old, cx),
+        match cx.lifecycle.client_policy(cx.now) {
+            lifecycle::ClientPolicy::Keep => {}
+            lifecycle::ClientPolicy::Close(old) | lifecycle::ClientPolicy::Refuse(old) => {
+                self.close_idle(old, cx)
+            }
         }
     }
 
@@ -552,11 +557,11 @@
     /// call need not be told on. One that has not spoken yet is left its time to do so.
     fn close_idle(&mut self, old: Duration, cx: &mut Context) {
         let settled = |c: &Client| c.answered && c.open == 0 && !c.is_releasing(cx.now);
-        let idle = |c: &Client| settled(c) && c.conn.is_flushed() && !c.conn.has_part();
+        let idle = |c: &Client| settled(c) && c.conn.is_flushed() && !c.conn.has_partial_line();
         let idle = self.conns.iter().filter(|(token, c)| idle(c) && !self.unread.contains(token));
         let idle = idle.filter(|(token, _)| !self.stays_for_calls(*token, old));
         let idle: Vec<_> = idle.map(|(token, _)| token).collect();
-        idle.into_iter().for_each(|token| self.end(token, End::ClosedHere, cx));
+        idle.into_iter().for_each(|token| self.end(token, EndReason::ClosedLocally, cx));
     }
 
     /// Whether a connection would be closed in a drain but for the ends of its calls, which are to be told there. One that
@@ -568,12 +573,12 @@
     }
 
     /// Closing a connection gives up the set-ups that are open on it; what stands belongs to none.
-    fn end(&mut self, token: Token, end: End, cx: &mut Context) {
+    fn end(&mut self, token: Token, end: EndReason, cx: &mut Context) {
         let Some(mut client) = self.conns.remove(token) else {
             return;
         };
         let _ = cx.registry.deregister(&mut client.conn.stream);
-        if !matches!(end, End::Closed | End::ClosedHere) {
+        if !matches!(end, EndReason::PeerClosed | EndReason::ClosedLocally) {
             cx.log.line(cx.now, "client-ended", format_args!("{}: {end}", client.peer));
         }
         for (_, release) in client.released.into_iter().filter(|(at, _)| *at + MAY_CROSS > cx.now) {
@@ -587,7 +592,7 @@
             let open: Vec<_> = open.map(|(call, _)| *call).collect();
             for call in open {
                 self.forget(call);
-                cx.engine.caller_ends(cx.now, call, cx.deadlines);
+                cx.engine.caller_ended(cx.now, call, cx.timers);
             }
         }
     }
@@ -595,11 +600,11 @@
 
 /// Reads a set-up; names the field at fault. What goes on to an exchange unchanged must be what it can read,
 /// as it closes its connection on anything else; and a figure that is out of range is not mended.
-fn incoming(message: Message, words: &Words) -> Result<Incoming, &'static str> {
-    let class = words.classes.iter().position(|c| c == message.opt("class")).ok_or("class")?;
+fn incoming(message: Message, wire: &WireConfig) -> Result<IncomingCall, &'static str> {
+    let class = wire.classes.iter().position(|c| c == message.opt("class")).ok_or("class")?;
     let left: f64 = message.opt("left").parse().map_err(|_| "left")?;
     let patience = slateshed_settings::duration(left).ok_or("left")?;
-    if patience.is_zero() || patience > words.deadlines[class] + LEFT_SLACK {
+    if patience.is_zero() || patience > wire.deadlines[class] + LEFT_SLACK {
         return Err("left");
     }
     let key = Some(message.opt("key")).filter(|k| is_hex(k)).ok_or("key")?;
@@ -607,23 +612,23 @@
     let extras = message.opt("extras");
     let count = |name| {
         let whole = |x: &f64| x.fract() == 0.0 && (0.0..=MOST_FIGURE).contains(x);
-        figure(extras, name).filter(whole).map(|x| x as u32)
+        list_value(extras, name).filter(whole).map(|x| x as u32)
     };
     let flag = |name| count(name).is_some_and(|x| x != 0);
     let origin = match () {
         () if flag("transit") => Origin::Transit,
-        () if flag("again") => Origin::Cut,
+        () if flag("again") => Origin::DroppedCall,
         () => Origin::Subscriber,
     };
-    Ok(Incoming {
+    Ok(IncomingCall {
         class,
         dialled: DialledNumber(dialled),
         patience,
         destination: ExchangeNumber(count("dest").ok_or("extras.dest")?),
         circuits: count("width").filter(|w| *w > 0).ok_or("extras.width")?,
-        advice: count("via").map(ExchangeNumber),
+        route_hint: count("via").map(ExchangeNumber),
         origin,
-        offer: Rc::new(Offer {
+        info: Rc::new(CallInfo {
             class: message.opt("class").to_owned(),
             key: key.to_owned(),
             description: message.blob.ok_or("blob")?,
--- a/node/src/net/conn.rs
+++ b/node/src/net/conn.rs
@@ -1,6 +1,6 @@
 //! A TCP connection with bounded buffers: partial reads and writes, and lines out of a stream.
 
-use crate::end::End;
+use crate::end::EndReason;
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
@@ -20,7 +20,7 @@
     input: Vec<u8>,
     /// How much of the input has been taken out as lines.
     taken: usize,
-    bounds: Bounds,
+    bounds: BufferLimits,
     output: Vec<u8>,
     written: usize,
     /// Bytes sent, ever, and of those the ones that the system has not taken over yet are in `output`.
@@ -29,48 +29,48 @@
     finishing: bool,
 }
 
-/// What one connection may hold.
+/// Limits of the buffers of one connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Most bytes of one line.
-    pub line: usize,
-    /// Most bytes that may wait for a peer that takes nothing in.
-    pub waiting: usize,
+pub struct BufferLimits {
+    /// Maximum bytes of one line.
+    pub max_line: usize,
+    /// Maximum bytes in the send buffer, for a peer that does not read.
+    pub max_buffered: usize,
 }
 
 impl Conn {
     /// A connection within its bounds. One that is dialled is not `up` yet.
-    pub fn new(stream: TcpStream, bounds: Bounds, up: bool) -> Self {
+    pub fn new(stream: TcpStream, bounds: BufferLimits, up: bool) -> Self {
         // Each message is wanted at once; a connection that can't have it still works.
         let _ = stream.set_nodelay(true);
         let (input, output) = (Vec::new(), Vec::new());
         Conn { stream, up, input, taken: 0, bounds, output, written: 0, sent: 0, finishing: false }
     }
 
-    /// Whether the connection has come up.
-    pub fn is_up(&self) -> bool {
+    /// Whether the connection is established.
+    pub fn is_connected(&self) -> bool {
         self.up
     }
 
-    /// Looks whether a dialled connection has come up by now.
-    pub fn check_up(&mut self) -> Result<bool, End> {
+    /// Checks whether a dialled connection is established by now.
+    pub fn check_connected(&mut self) -> Result<bool, EndReason> {
         if self.up {
             return Ok(true);
         }
         match self.stream.take_error() {
-            Ok(Some(error)) | Err(error) => return Err(dial_end(error.kind())),
+            Ok(Some(error)) | Err(error) => return Err(dial_end_reason(error.kind())),
             Ok(None) => {}
         }
         match self.stream.peer_addr() {
             Ok(_) => self.up = true,
             Err(e) if e.kind() == ErrorKind::NotConnected => {}
-            Err(e) => return Err(dial_end(e.kind())),
+            Err(e) => return Err(dial_end_reason(e.kind())),
         }
         Ok(self.up)
     }
 
     /// Reads once; the bytes read, or none where there is nothing more for now.
-    pub fn fill(&mut self) -> Result<usize, End> {
+    pub fn fill(&mut self) -> Result<usize, EndReason> {
         self.compact();
         let mut chunk = [0; CHUNK];
         let read = loop {
@@ -80,13 +80,13 @@
             }
         };
         match read {
-            Ok(0) => Err(End::Closed),
+            Ok(0) => Err(EndReason::PeerClosed),
             Ok(n) => {
                 self.input.extend_from_slice(&chunk[..n]);
                 Ok(n)
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(0),
-            Err(_) => Err(End::Broken),
+            Err(_) => Err(EndReason::ConnectionBroken),
         }
     }
 
@@ -100,11 +100,11 @@
     }
 
     /// Takes the next whole line out, without its line feed.
-    pub fn line(&mut self) -> Result<Option<Vec<u8>>, End> {
+    pub fn next_line(&mut self) -> Result<Option<Vec<u8>>, EndReason> {
         let rest = &self.input[self.taken..];
         let end = rest.iter().position(|b| *b == b'\n');
-        if end.unwrap_or(rest.len()) > self.bounds.line {
-            return Err(End::Oversized);
+        if end.unwrap_or(rest.len()) > self.bounds.max_line {
+            return Err(EndReason::MessageTooLong);
         }
         let line = end.map(|end| rest[..end].to_vec());
         match &line {
@@ -115,7 +115,7 @@
     }
 
     /// Whether a line has begun and is not whole.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         self.taken < self.input.len()
     }
 
@@ -125,9 +125,9 @@
     }
 
     /// Queues bytes and writes what the peer takes at once.
-    pub fn send(&mut self, bytes: &[u8]) -> Result<(), End> {
-        if self.output.len() - self.written + bytes.len() > self.bounds.waiting {
-            return Err(End::Backlog);
+    pub fn send(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
+        if self.output.len() - self.written + bytes.len() > self.bounds.max_buffered {
+            return Err(EndReason::SendBufferFull);
         }
         self.output.extend_from_slice(bytes);
         self.sent += bytes.len() as u64;
@@ -135,7 +135,7 @@
     }
 
     /// Closes this side once all that waits has been written; the peer may still send.
-    pub fn finish(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.finishing = true;
         // A connection that is broken already shows that when it is read.
         let _ = self.flush();
@@ -154,17 +154,17 @@
     }
 
     /// Writes what waits, as far as the peer takes it.
-    pub fn flush(&mut self) -> Result<(), End> {
+    pub fn flush(&mut self) -> Result<(), EndReason> {
         if !self.up {
             return Ok(());
         }
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
-                Ok(0) => return Err(End::Broken),
+                Ok(0) => return Err(EndReason::ConnectionBroken),
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(_) => return Err(End::Broken),
+                Err(_) => return Err(EndReason::ConnectionBroken),
             }
         }
         self.output.clear();
@@ -185,17 +185,17 @@
 }
 
 /// How a connection ended that never came up.
-pub fn dial_end(kind: ErrorKind) -> End {
+pub fn dial_end_reason(kind: ErrorKind) -> EndReason {
     match kind {
-        ErrorKind::ConnectionRefused => End::Refused,
+        ErrorKind::ConnectionRefused => EndReason::ConnectionRefused,
         ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => {
-            End::DialTimedOut
+            EndReason::DialTimedOut
         }
         // Reset before it was seen to be up. Nothing was written to it; but somebody was there to take it, so
         // it does not prove that the process is down.
         ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted | ErrorKind::BrokenPipe => {
-            End::NeverUp
+            EndReason::ResetBeforeUse
         }
-        _ => End::NoSocket,
+        _ => EndReason::NoSocket,
     }
 }
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -3,14 +3,14 @@
 
 mod upkeep;
 
-use super::conn::{dial_end, Conn};
-use super::lines::{figure, line, Message};
-use super::{Context, Due, Kind};
+use super::conn::{dial_end_reason, Conn};
+use super::lines::{line, list_value, Message};
+use super::{Context, SourceKind, TimerEvent};
+use crate::arena::{Arena, Token};
 use crate::config::Limits;
-use crate::end::End;
-use crate::engine::{AttemptToken, Cause, Command, Offer};
-use crate::liveness::{Adverse, Incarnation};
-use crate::slots::{Slots, Token};
+use crate::end::EndReason;
+use crate::engine::{AttemptToken, CallInfo, Command, ReleaseCause};
+use crate::liveness::{FailureSign, Incarnation};
 use mio::net::TcpStream;
 use mio::Interest;
 use slateshed::{ExchangeId, Phase};
@@ -91,7 +91,7 @@
 }
 
 struct Sent {
-    offer: Rc<Offer>,
+    info: Rc<CallInfo>,
     exchange: ExchangeId,
     link: Token,
     at: Duration,
@@ -105,19 +105,19 @@
 pub struct Exchanges {
     limits: Limits,
     peers: BTreeMap<ExchangeId, Peer>,
-    links: Slots<Link>,
+    links: Arena<Link>,
     attempts: HashMap<AttemptToken, Sent>,
     by_tag: HashMap<(ExchangeId, String), AttemptToken>,
-    doomed: Vec<(Token, End)>,
+    doomed: Vec<(Token, EndReason)>,
     /// Connections that had more to read than one turn allows.
     unread: Vec<Token>,
 }
 
 /// A set-up as it goes to an exchange.
-fn set_up(offer: &Offer, wait: Duration) -> Vec<u8> {
+fn set_up(info: &CallInfo, wait: Duration) -> Vec<u8> {
     let left = wait.as_millis().to_string();
-    let opts = [("class", offer.class.as_str()), ("key", &offer.key), ("left", &left)];
-    line("START", &offer.id, &opts, None, Some(&offer.description))
+    let opts = [("class", info.class.as_str()), ("key", &info.key), ("left", &left)];
+    line("START", &info.id, &opts, None, Some(&info.description))
 }
 
 impl Exchanges {
@@ -126,7 +126,7 @@
         Exchanges {
             limits,
             peers: BTreeMap::new(),
-            links: Slots::default(),
+            links: Arena::default(),
             attempts: HashMap::new(),
             by_tag: HashMap::new(),
             doomed: Vec::new(),
@@ -141,7 +141,7 @@
 
     /// Whether all that was sent has been written to the connections that are up.
     pub fn is_flushed(&self) -> bool {
-        self.links.iter().all(|(_, l)| !l.conn.is_up() || l.conn.is_flushed())
+        self.links.iter().all(|(_, l)| !l.conn.is_connected() || l.conn.is_flushed())
     }
 
     /// The list has named an exchange, or has news of it. One that is gone is not known here any longer.
@@ -177,9 +177,9 @@
     /// Ends the connections to an exchange that are not up. What waits on one would go out as soon as it is,
     /// long after the exchange was said to drain or to have moved.
     fn drop_unsent(&mut self, exchange: ExchangeId, cx: &mut Context) {
-        let late = self.links.iter().filter(|(_, l)| l.exchange == exchange && !l.conn.is_up());
+        let late = self.links.iter().filter(|(_, l)| l.exchange == exchange && !l.conn.is_connected());
         let late: Vec<_> = late.map(|(token, _)| token).collect();
-        late.into_iter().for_each(|token| self.end(token, End::ClosedHere, cx));
+        late.into_iter().for_each(|token| self.end(token, EndReason::ClosedLocally, cx));
     }
 
     /// Exchanges that the whole list lacks are gone.
@@ -219,12 +219,12 @@
     /// Whether a connection to an exchange is up, and how many are.
     fn up(&self, exchange: ExchangeId) -> usize {
         let links = self.peers.get(&exchange).map_or(&[][..], |p| &p.links);
-        links.iter().filter(|t| self.links.get(**t).is_some_and(|l| l.conn.is_up())).count()
+        links.iter().filter(|t| self.links.get(**t).is_some_and(|l| l.conn.is_connected())).count()
     }
 
     /// Whether a connection is up and not about to be closed.
     fn is_usable(&self, token: &Token) -> bool {
-        self.links.get(*token).is_some_and(|l| l.conn.is_up() && l.closing.is_none())
+        self.links.get(*token).is_some_and(|l| l.conn.is_connected() && l.closing.is_none())
     }
 
     /// Makes sure that a connection is up or on its way, and several where one is up and set-ups may come. While
@@ -235,7 +235,7 @@
                 return;
             };
             let several = peer.phase == Phase::InService && self.up(exchange) > 0;
-            let want = if several { self.limits.links() } else { 1 };
+            let want = if several { self.limits.connections_per_exchange() } else { 1 };
             let want = want + usize::from(peer.renews.is_some());
             if peer.waiting || peer.links.len() >= want || self.dial(exchange, cx).is_none() {
                 return;
@@ -250,8 +250,8 @@
         let peer = self.peers.get(&exchange)?;
         let links = peer.links.iter().filter_map(|t| Some((*t, self.links.get(*t)?)));
         let spoilt = |l: &Link| l.part_since.is_some() || l.given_up.iter().any(|g| g == id);
-        let followed = |l: &Link| l.incarnation.is_some_and(|i| cx.engine.is_followed(exchange, i));
-        let rank = |l: &Link| (spoilt(l), followed(l), !l.heard, !l.conn.is_up(), l.open.len());
+        let followed = |l: &Link| l.incarnation.is_some_and(|i| cx.engine.has_newer(exchange, i));
+        let rank = |l: &Link| (spoilt(l), followed(l), !l.heard, !l.conn.is_connected(), l.open.len());
         let best = links.min_by_key(|(_, l)| rank(l)).map(|(token, _)| token);
         best.or_else(|| self.dial(exchange, cx))
     }
@@ -259,27 +259,27 @@
     /// Begins a connection.
     fn dial(&mut self, exchange: ExchangeId, cx: &mut Context) -> Option<Token> {
         let addr = self.peers.get(&exchange)?.addr;
-        let failed = |cx: &mut Context, end: End| {
+        let failed = |cx: &mut Context, end: EndReason| {
             let name = cx.engine.name(exchange);
             cx.log.line(cx.now, "exchange-unreachable", format_args!("{name}: {end}"));
         };
         let mut stream = match TcpStream::connect(addr) {
             Ok(stream) => stream,
             Err(e) => {
-                let end = dial_end(e.kind());
+                let end = dial_end_reason(e.kind());
                 failed(cx, end);
-                if let Some(observation) = Adverse::of_dial(end) {
-                    cx.engine.adverse(cx.now, exchange, observation);
+                if let Some(observation) = FailureSign::from_dial(end) {
+                    cx.engine.record_failure_sign(cx.now, exchange, observation);
                 }
                 self.redial(exchange, cx);
                 return None;
             }
         };
-        let (registry, now, bounds) = (cx.registry, cx.now, self.limits.exchange_bounds());
+        let (registry, now, bounds) = (cx.registry, cx.now, self.limits.exchange_buffer_limits());
         let mut registered = Ok(());
         let token = self.links.insert_with(|token| {
             let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, Kind::Exchange.token(token), both);
+            registered = registry.register(&mut stream, SourceKind::Exchange.token(token), both);
             Link {
                 conn: Conn::new(stream, bounds, false),
                 exchange,
@@ -298,12 +298,12 @@
         });
         if registered.is_err() {
             self.links.remove(token);
-            failed(cx, End::NoSocket);
+            failed(cx, EndReason::NoSocket);
             self.redial(exchange, cx);
             return None;
         }
         self.peers.get_mut(&exchange)?.links.push(token);
-        cx.deadlines.set(now + cx.dial_timeout, Due::Dial(token));
+        cx.timers.schedule(now + cx.dial_timeout, TimerEvent::DialTimeout(token));
         Some(token)
     }
 
@@ -314,7 +314,7 @@
             let first = if up { REPLACE } else { REDIAL };
             let wait = (first * (1 << peer.failures.min(6))).min(REDIAL_MOST);
             peer.failures += 1;
-            cx.deadlines.set(cx.now + wait, Due::Redial(exchange));
+            cx.timers.schedule(cx.now + wait, TimerEvent::Redial(exchange));
         }
     }
 
@@ -328,16 +328,18 @@
 
     /// A connection should have come up by now.
     pub fn dial_due(&mut self, token: Token, cx: &mut Context) {
-        if self.links.get(token).is_some_and(|l| !l.conn.is_up()) {
-            self.end(token, End::DialTimedOut, cx);
+        if self.links.get(token).is_some_and(|l| !l.conn.is_connected()) {
+            self.end(token, EndReason::DialTimedOut, cx);
         }
     }
 
     /// A message should have got whole by now.
     pub fn part_due(&mut self, token: Token, cx: &mut Context) {
         match self.links.get(token).and_then(|l| l.part_since) {
-            Some(since) if cx.now >= since + STOPPED_SHORT => self.end(token, End::StoppedShort, cx),
-            Some(since) => cx.deadlines.set(since + STOPPED_SHORT, Due::Part(token)),
+            Some(since) if cx.now >= since + STOPPED_SHORT => {
+                self.end(token, EndReason::MessageIncomplete, cx)
+            }
+            Some(since) => cx.timers.schedule(since + STOPPED_SHORT, TimerEvent::PartialMessage(token)),
             None => {}
         }
     }
@@ -345,23 +347,23 @@
     /// Carries out a command for an exchange.
     pub fn command(&mut self, command: Command, cx: &mut Context) {
         match command {
-            Command::SetUp { attempt, exchange, offer, wait } => {
+            Command::SetUp { attempt, exchange, info, wait } => {
                 let until = cx.now + wait;
-                self.start(attempt, exchange, offer, (cx.now, until), 0, cx);
+                self.start(attempt, exchange, info, (cx.now, until), 0, cx);
             }
-            Command::GiveUp(attempt) => {
+            Command::CancelAttempt(attempt) => {
                 let Some(sent) = self.forget(attempt) else {
                     return;
                 };
-                if self.links.get(sent.link).is_some_and(|l| !l.conn.is_up()) {
+                if self.links.get(sent.link).is_some_and(|l| !l.conn.is_connected()) {
                     // It would go out once the connection is up, when the call may be elsewhere.
-                    return self.end(sent.link, End::ClosedHere, cx);
+                    return self.end(sent.link, EndReason::ClosedLocally, cx);
                 }
                 if let Some(link) = self.links.get_mut(sent.link) {
                     link.given_up.truncate(GIVEN_UP - 1);
-                    link.given_up.push_front(sent.offer.id.clone());
+                    link.given_up.push_front(sent.info.id.clone());
                 }
-                self.send(sent.link, &line("FINISH", &sent.offer.id, &[], Some(16), None));
+                self.send(sent.link, &line("FINISH", &sent.info.id, &[], Some(16), None));
                 self.observe_unanswered(&sent, cx);
                 self.close_if_done(sent.link, cx);
             }
@@ -369,8 +371,8 @@
                 let Some(sent) = self.forget(attempt) else {
                     return;
                 };
-                let rc = if cause == Cause::Normal { 16 } else { 41 };
-                let release = line("FINISH", &sent.offer.id, &[], Some(rc), None);
+                let rc = if cause == ReleaseCause::Normal { 16 } else { 41 };
+                let release = line("FINISH", &sent.info.id, &[], Some(rc), None);
                 let on = Some(sent.link).filter(|t| self.is_usable(t));
                 let on = on.or_else(|| self.pick(sent.exchange, "", cx)).filter(|t| self.is_usable(t));
                 match on {
@@ -384,7 +386,7 @@
                     }
                 }
             }
-            Command::Forget(attempt) => drop(self.forget(attempt)),
+            Command::ForgetAttempt(attempt) => drop(self.forget(attempt)),
             _ => {}
         }
     }
@@ -394,18 +396,18 @@
         &mut self,
         attempt: AttemptToken,
         exchange: ExchangeId,
-        offer: Rc<Offer>,
+        info: Rc<CallInfo>,
         (at, until): (Duration, Duration),
         moves: u32,
         cx: &mut Context,
     ) {
-        let Some(token) = self.pick(exchange, &offer.id, cx) else {
-            return cx.engine.attempt_ended(cx.now, attempt, End::NoSocket, cx.deadlines);
+        let Some(token) = self.pick(exchange, &info.id, cx) else {
+            return cx.engine.attempt_ended(cx.now, attempt, EndReason::NoSocket, cx.timers);
         };
-        let bytes = set_up(&offer, until.saturating_sub(cx.now));
-        self.by_tag.insert((exchange, offer.id.clone()), attempt);
+        let bytes = set_up(&info, until.saturating_sub(cx.now));
+        self.by_tag.insert((exchange, info.id.clone()), attempt);
         let end_at = self.links.get(token).map_or(0, |l| l.conn.sent()) + bytes.len() as u64;
-        self.attempts.insert(attempt, Sent { offer, exchange, link: token, at, until, end_at, moves });
+        self.attempts.insert(attempt, Sent { info, exchange, link: token, at, until, end_at, moves });
         if let Some(link) = self.links.get_mut(token) {
             link.open.push(attempt);
             link.unwritten.push_back(end_at);
@@ -419,7 +421,7 @@
         if let Some(link) = self.links.get_mut(token) {
             let written = link.unwritten.iter().take_while(|end| link.conn.has_written(**end)).count();
             link.unwritten.drain(..written);
-            cx.engine.forwarded(written as u64);
+            cx.engine.count_forwards(written as u64);
         }
     }
 
@@ -427,7 +429,7 @@
     fn forget(&mut self, attempt: AttemptToken) -> Option<Sent> {
         let sent = self.attempts.remove(&attempt)?;
         // The call may have gone to the same exchange again since.
-        let key = (sent.exchange, sent.offer.id.clone());
+        let key = (sent.exchange, sent.info.id.clone());
         if self.by_tag.get(&key) == Some(&attempt) {
             self.by_tag.remove(&key);
         }
@@ -468,13 +470,13 @@
         }
     }
 
-    fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), End> {
+    fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), EndReason> {
         for _ in 0..READS {
             let Some(link) = self.links.get_mut(token) else {
                 return Ok(());
             };
-            if !link.conn.is_up() {
-                if !link.conn.check_up()? {
+            if !link.conn.is_connected() {
+                if !link.conn.check_connected()? {
                     return Ok(());
                 }
                 self.came_up(token, cx);
@@ -491,7 +493,7 @@
             if matches!(read, Ok(n) if n > 0) {
                 self.observe_bytes(token, cx);
             }
-            while let Some(text) = self.links.get_mut(token).map_or(Ok(None), |l| l.conn.line())? {
+            while let Some(text) = self.links.get_mut(token).map_or(Ok(None), |l| l.conn.next_line())? {
                 if let Some(link) = self.links.get_mut(token) {
                     link.part_since = None;
                 }
@@ -499,10 +501,10 @@
                     self.message(token, Message::parse(&text)?, cx)?;
                 }
             }
-            if let Some(link) = self.links.get_mut(token).filter(|l| l.conn.has_part()) {
+            if let Some(link) = self.links.get_mut(token).filter(|l| l.conn.has_partial_line()) {
                 if link.part_since.is_none() {
                     link.part_since = Some(cx.now);
-                    cx.deadlines.set(cx.now + STOPPED_SHORT, Due::Part(token));
+                    cx.timers.schedule(cx.now + STOPPED_SHORT, TimerEvent::PartialMessage(token));
                 }
             }
             if read? == 0 {
@@ -550,20 +552,20 @@
             }
             // What is being closed may still be closed in return, or bring the end of a call.
             if held <= REPORTED_ON && link.closing.is_none() {
-                self.doomed.push((other, End::Silent));
+                self.doomed.push((other, EndReason::PeerSilent));
             }
             // Where there are more than get reports, it is the newer ones that go without.
             if let Some(incarnation) = link.incarnation.filter(|i| Some(*i) < reporter) {
                 let observation = match link.was_in_use(link.missed_since) {
-                    true => Adverse::MissedReports(incarnation),
-                    false => Adverse::MissedReportsAtRest(incarnation),
+                    true => FailureSign::MissedReports(incarnation),
+                    false => FailureSign::MissedReportsAtRest(incarnation),
                 };
-                cx.engine.adverse(cx.now, exchange, observation);
+                cx.engine.record_failure_sign(cx.now, exchange, observation);
             }
         }
     }
 
-    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), End> {
+    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
         let Some(link) = self.links.get(token) else {
             return Ok(());
         };
@@ -574,7 +576,9 @@
         // What answers a set-up comes on its own connection; on another it answers one given up there.
         let elsewhere = |a: &AttemptToken| {
             let on = self.attempts.get(a).map(|sent| sent.link);
-            !cx.engine.stands(*a) && on != Some(token) && on.is_some_and(|t| self.links.get(t).is_some())
+            !cx.engine.is_answered(*a)
+                && on != Some(token)
+                && on.is_some_and(|t| self.links.get(t).is_some())
         };
         let attempt = attempt.filter(|a| !elsewhere(a));
         // The state of the group comes unasked with each change, at once. What answers and releases repeat of it
@@ -585,34 +589,34 @@
                 self.reported(token, exchange, cx);
             }
             let load = message.opt("load");
-            let count = |name: &str| figure(load, name).filter(|x| *x >= 0.0).map(|x| x as u32);
-            if let Some(state) = count(&cx.words.report[0]).zip(count(&cx.words.report[1])) {
-                cx.engine.circuits(cx.now, exchange, state, cx.deadlines);
+            let count = |name: &str| list_value(load, name).filter(|x| *x >= 0.0).map(|x| x as u32);
+            if let Some(state) = count(&cx.wire.report[0]).zip(count(&cx.wire.report[1])) {
+                cx.engine.update_circuits(cx.now, exchange, state, cx.timers);
             }
         }
         match (message.verb.as_str(), attempt) {
             ("STARTED", Some(attempt)) => {
                 // An answer without its description is cut short.
-                let description = message.blob.ok_or(End::Garbage)?;
+                let description = message.blob.ok_or(EndReason::MalformedMessage)?;
                 if let Some(sent) = self.attempts.get(&attempt) {
                     self.no_longer_open(sent.link, attempt);
                 }
-                if !cx.engine.answered(cx.now, attempt, by, description, cx.deadlines) {
+                if !cx.engine.answered(cx.now, attempt, by, description, cx.timers) {
                     cx.log.line(cx.now, "answer-twice", &message.tag);
                 }
             }
-            ("FINISH", _) if message.rc.is_none() => return Err(End::Garbage),
+            ("FINISH", _) if message.rc.is_none() => return Err(EndReason::MalformedMessage),
             ("FINISH", Some(attempt)) => {
-                let end = end_of(message.rc, message.opt("note"), cx.engine.stands(attempt));
+                let end = end_of(message.rc, message.opt("note"), cx.engine.is_answered(attempt));
                 self.observe_call(attempt, cx);
                 self.forget(attempt);
-                cx.engine.attempt_ended(cx.now, attempt, end, cx.deadlines);
+                cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
                 self.close_if_done(token, cx);
             }
             ("STARTED" | "FINISH", None) => {}
             ("PENDING" | "FINISHED" | "LOAD" | "ECHOED", _) => {}
             ("ECHO", _) => self.send(token, &line("ECHOED", &message.tag, &[], Some(1), None)),
-            _ => return Err(End::Garbage),
+            _ => return Err(EndReason::MalformedMessage),
         }
         Ok(())
     }
@@ -624,7 +628,7 @@
         }
     }
 
-    fn end(&mut self, token: Token, end: End, cx: &mut Context) {
+    fn end(&mut self, token: Token, end: EndReason, cx: &mut Context) {
         let Some(mut link) = self.links.remove(token) else {
             return;
         };
@@ -635,18 +639,18 @@
             was_listed = peer.links.contains(&token);
             peer.links.retain(|t| *t != token);
         }
-        if end != End::ClosedHere {
+        if end != EndReason::ClosedLocally {
             let (name, open) = (cx.engine.name(exchange), link.open.len());
             cx.log.line(cx.now, "exchange-ended", format_args!("{name}: {end}, {open} open"));
         }
         self.observe_end(&link, was_listed, end, cx);
         // A connection that could not be made says something of the exchange only where none is up, and where
         // it was not this side that ended it.
-        let failed = !link.conn.is_up() && end != End::ClosedHere;
+        let failed = !link.conn.is_connected() && end != EndReason::ClosedLocally;
         let unreachable = failed && was_listed && self.up(exchange) == 0;
-        let is_open = |(_, l): (Token, &Link)| l.exchange == exchange && l.conn.is_up();
-        if unreachable && end == End::Refused && !self.links.iter().any(is_open) {
-            cx.engine.refused(cx.now, exchange, cx.deadlines);
+        let is_open = |(_, l): (Token, &Link)| l.exchange == exchange && l.conn.is_connected();
+        if unreachable && end == EndReason::ConnectionRefused && !self.links.iter().any(is_open) {
+            cx.engine.connection_refused(cx.now, exchange, cx.timers);
         }
         if was_listed {
             if unreachable || !link.heard {
@@ -664,34 +668,34 @@
             let serves = self.peers.get(&exchange).is_some_and(|p| p.phase == Phase::InService);
             if left && serves && cx.now < sent.until {
                 let times = (sent.at, sent.until);
-                self.start(attempt, exchange, sent.offer, times, sent.moves + 1, cx);
+                self.start(attempt, exchange, sent.info, times, sent.moves + 1, cx);
             } else {
                 let unsent = !link.conn.has_written(sent.end_at);
                 let end = match end {
-                    End::ClosedHere if unsent => End::NotSent,
-                    _ if unsent && link.conn.is_up() => End::NeverUp,
+                    EndReason::ClosedLocally if unsent => EndReason::NotSent,
+                    _ if unsent && link.conn.is_connected() => EndReason::ResetBeforeUse,
                     end => end,
                 };
-                cx.engine.attempt_ended(cx.now, attempt, end, cx.deadlines);
+                cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
             }
         }
     }
 }
 
 /// How a release by an exchange ends the attempt.
-fn end_of(rc: Option<u32>, note: &str, stands: bool) -> End {
+fn end_of(rc: Option<u32>, note: &str, stands: bool) -> EndReason {
     match (rc, note) {
-        (Some(16), _) if stands => End::Ended,
-        _ if stands => End::Cut,
-        (Some(34), "group_full") => End::NoCircuit,
-        (Some(34), "tandem_refused") => End::TurnedBack,
-        (Some(34), "destination_full") => End::FarProcessorFull,
-        (Some(34), _) => End::ProcessorFull(None),
-        (Some(17 | 47), "user_busy") => End::NumberBusy,
-        (Some(102), "group_full") => End::NoCircuit,
-        (Some(102), "processor_full") => End::OwnProcessorDown,
-        (Some(102), _) => End::NotSent,
-        (Some(41), _) => End::Cut,
-        _ => End::Fault,
+        (Some(16), _) if stands => EndReason::Ended,
+        _ if stands => EndReason::Dropped,
+        (Some(34), "group_full") => EndReason::NoCircuit,
+        (Some(34), "tandem_refused") => EndReason::TandemRefused,
+        (Some(34), "destination_full") => EndReason::FarProcessorFull,
+        (Some(34), _) => EndReason::ProcessorFull(None),
+        (Some(17 | 47), "user_busy") => EndReason::NumberBusy,
+        (Some(102), "group_full") => EndReason::NoCircuit,
+        (Some(102), "processor_full") => EndReason::OwnProcessorDown,
+        (Some(102), _) => EndReason::NotSent,
+        (Some(41), _) => EndReason::Dropped,
+        _ => EndReason::Fault,
     }
 }
--- a/node/src/net/exchanges/upkeep.rs
+++ b/node/src/net/exchanges/upkeep.rs
@@ -5,11 +5,11 @@
 //! No message is sent for it.
 
 use super::{Exchanges, Link, Sent};
-use crate::end::End;
-use crate::engine::Upkeep;
-use crate::liveness::{Adverse, Incarnation};
-use crate::net::{Context, Due};
-use crate::slots::Token;
+use crate::arena::Token;
+use crate::end::EndReason;
+use crate::engine::ConnectionRequest;
+use crate::liveness::{FailureSign, Incarnation};
+use crate::net::{Context, TimerEvent};
 use slateshed::ExchangeId;
 use std::time::Duration;
 
@@ -30,10 +30,10 @@
 
 impl Exchanges {
     /// Carries out what the engine wants of the connections to an exchange.
-    pub fn upkeep(&mut self, upkeep: Upkeep, cx: &mut Context) {
+    pub fn upkeep(&mut self, upkeep: ConnectionRequest, cx: &mut Context) {
         match upkeep {
-            Upkeep::Check(exchange, incarnation) => self.check(exchange, incarnation, cx),
-            Upkeep::Abandon(exchange, incarnation) => self.abandon(exchange, incarnation, cx),
+            ConnectionRequest::Check(exchange, incarnation) => self.check(exchange, incarnation, cx),
+            ConnectionRequest::Abandon(exchange, incarnation) => self.abandon(exchange, incarnation, cx),
         }
     }
 
@@ -49,7 +49,7 @@
         // One that rested may be forgotten, and one that is only assumed to lead there tells nothing of the process.
         let is_conclusive =
             self.links.get(oldest).is_some_and(|l| l.was_in_use(cx.now) && l.leads_to(incarnation, cx));
-        cx.engine.began_check(cx.now, exchange, is_conclusive);
+        cx.engine.check_started(cx.now, exchange, is_conclusive);
         if several {
             self.close_in_good_order(oldest, cx);
         } else if let Some(peer) = self.peers.get_mut(&exchange) {
@@ -70,7 +70,7 @@
         let peer = self.peers.get(&exchange)?;
         let links = peer.links.iter().filter_map(|t| Some((*t, self.links.get(*t)?)));
         links
-            .filter(|(_, l)| l.conn.is_up() && l.open.is_empty())
+            .filter(|(_, l)| l.conn.is_connected() && l.open.is_empty())
             .min_by_key(|(t, l)| {
                 (!l.leads_to(incarnation, cx), self.carries_calls(*t, cx), l.last_heard)
             })
@@ -87,9 +87,9 @@
         let Some(oldest) = oldest else {
             return;
         };
-        if cx.engine.closes_in_return(exchange) {
+        if cx.engine.closes_in_response(exchange) {
             self.close_in_good_order(oldest, cx);
-        } else if !cx.engine.is_doubted(exchange, incarnation) {
+        } else if !cx.engine.is_suspected(exchange, incarnation) {
             self.close_in_good_order(token, cx);
         }
     }
@@ -100,19 +100,19 @@
         let Some(link) = self.links.get_mut(token) else {
             return;
         };
-        if !link.conn.is_up() {
-            return self.end(token, End::ClosedHere, cx);
+        if !link.conn.is_connected() {
+            return self.end(token, EndReason::ClosedLocally, cx);
         }
         if link.closing.is_some() {
             return;
         }
         link.closing = Some(cx.now);
-        link.conn.finish();
+        link.conn.shutdown_write();
         let exchange = link.exchange;
         if let Some(peer) = self.peers.get_mut(&exchange) {
             peer.links.retain(|t| *t != token);
         }
-        cx.deadlines.set(cx.now + CLOSES_WITHIN, Due::Closing(token));
+        cx.timers.schedule(cx.now + CLOSES_WITHIN, TimerEvent::CloseTimeout(token));
     }
 
     /// The peer should have closed a connection by now. One that carries calls is kept until their ends are told, as a
@@ -124,45 +124,55 @@
         };
         let exchange = link.exchange;
         let is_witness = link.incarnation.is_some_and(|i| {
-            cx.engine.stands_at(exchange, i)
+            cx.engine.has_calls_at(exchange, i)
                 && cx.engine.silent_for(cx.now, exchange, i) >= CLOSES_WITHIN
         });
         let is_needed = is_witness && cx.now < since + CLOSES_AT_LAST;
         if is_needed || self.carries_calls(token, cx) {
-            cx.deadlines.set(cx.now + CLOSES_WITHIN, Due::Closing(token));
+            cx.timers.schedule(cx.now + CLOSES_WITHIN, TimerEvent::CloseTimeout(token));
         } else {
-            self.end(token, End::ClosedHere, cx);
+            self.end(token, EndReason::ClosedLocally, cx);
         }
     }
 
     /// Whether calls stand whose set-ups went on a connection.
     fn carries_calls(&self, token: Token, cx: &Context) -> bool {
-        self.attempts.iter().any(|(attempt, sent)| sent.link == token && cx.engine.stands(*attempt))
+        self.attempts.iter().any(|(attempt, sent)| sent.link == token && cx.engine.is_answered(*attempt))
     }
 
     /// Ends the connections to a process that is gone.
     fn abandon(&mut self, exchange: ExchangeId, incarnation: Incarnation, cx: &mut Context) {
         let of_it = |l: &Link| l.exchange == exchange && l.leads_to(incarnation, cx);
         let gone: Vec<_> = self.links.iter().filter(|(_, l)| of_it(l)).map(|(t, _)| t).collect();
-        gone.into_iter().for_each(|token| self.end(token, End::Silent, cx));
+        gone.into_iter().for_each(|token| self.end(token, EndReason::PeerSilent, cx));
         self.refill(exchange, cx);
     }
 
     /// A connection has ended: what that shows of the process at its other end.
-    pub(super) fn observe_end(&mut self, link: &Link, was_listed: bool, end: End, cx: &mut Context) {
+    pub(super) fn observe_end(
+        &mut self,
+        link: &Link,
+        was_listed: bool,
+        end: EndReason,
+        cx: &mut Context,
+    ) {
         let (now, exchange) = (cx.now, link.exchange);
         let Some(incarnation) = link.incarnation else {
-            if let Some(observation) = Adverse::of_dial(end).filter(|_| was_listed) {
-                cx.engine.adverse(now, exchange, observation);
+            if let Some(observation) = FailureSign::from_dial(end).filter(|_| was_listed) {
+                cx.engine.record_failure_sign(now, exchange, observation);
             }
             return;
         };
         match end {
-            End::Closed => cx.engine.closed(now, exchange, incarnation, link.closing.is_some()),
-            End::Silent if link.was_in_use(link.missed_since) => {
-                cx.engine.adverse(now, exchange, Adverse::MissedReports(incarnation));
+            EndReason::PeerClosed => {
+                cx.engine.peer_closed(now, exchange, incarnation, link.closing.is_some())
+            }
+            EndReason::PeerSilent if link.was_in_use(link.missed_since) => {
+                cx.engine.record_failure_sign(now, exchange, FailureSign::MissedReports(incarnation));
+            }
+            EndReason::ConnectionBroken if link.closing.is_none() => {
+                self.observe_reset(link, incarnation, cx)
             }
-            End::Broken if link.closing.is_none() => self.observe_reset(link, incarnation, cx),
             _ => {}
         }
     }
@@ -175,7 +185,7 @@
         let is_left = self.links.iter().any(|(_, l)| {
             l.exchange == exchange
                 && l.closing.is_none()
-                && l.incarnation.is_some_and(|o| cx.engine.is_same(exchange, o, incarnation))
+                && l.incarnation.is_some_and(|o| cx.engine.is_same_process(exchange, o, incarnation))
         });
         let Some(peer) = self.peers.get_mut(&exchange) else {
             return;
@@ -187,8 +197,8 @@
         peer.reset_at = cx.now;
         peer.resets_in_use |= was_in_use;
         let is_all = !is_left && peer.resets > 1 && peer.resets_in_use;
-        let observation = if is_all { Adverse::AllReset(incarnation) } else { Adverse::Reset };
-        cx.engine.adverse(cx.now, exchange, observation);
+        let observation = if is_all { FailureSign::AllReset(incarnation) } else { FailureSign::Reset };
+        cx.engine.record_failure_sign(cx.now, exchange, observation);
     }
 
     /// Bytes have arrived on a connection: the process at its other end lives.
@@ -199,7 +209,7 @@
         link.last_heard = cx.now;
         let (exchange, incarnation) = (link.exchange, link.incarnation);
         if let Some(incarnation) = incarnation {
-            cx.engine.heard(cx.now, exchange, incarnation);
+            cx.engine.record_activity(cx.now, exchange, incarnation);
         }
         if let Some(peer) = self.peers.get_mut(&exchange) {
             (peer.resets, peer.resets_in_use) = (0, false);
@@ -214,7 +224,7 @@
         link.heard = true;
         let exchange = link.exchange;
         if verb == "LOAD" && cx.now < link.up_since + GREETS_WITHIN {
-            cx.engine.greeted(exchange);
+            cx.engine.peer_spoke_first(exchange);
         }
         if let Some(peer) = self.peers.get_mut(&exchange) {
             peer.failures = 0;
@@ -242,14 +252,14 @@
         let links = self.peers.get(&exchange).map_or(Vec::new(), |p| p.links.clone());
         let silent: Vec<_> = links.into_iter().filter(|t| is_unheard(*t, sent.at)).collect();
         let name = cx.engine.name(exchange);
-        let text = format_args!("exchange={name} call={} closes={}", sent.offer.id, silent.len());
+        let text = format_args!("exchange={name} call={} closes={}", sent.info.id, silent.len());
         cx.log.line(cx.now, "exchange-silent", text);
         let set_ups = waiting as u32 + 1;
         let observation = match was_in_use {
-            true => Adverse::Unanswered(set_ups, incarnation),
-            false => Adverse::UnansweredAtRest(set_ups),
+            true => FailureSign::Unanswered(set_ups, incarnation),
+            false => FailureSign::UnansweredAtRest(set_ups),
         };
-        cx.engine.adverse(cx.now, exchange, observation);
+        cx.engine.record_failure_sign(cx.now, exchange, observation);
         silent.into_iter().for_each(|token| self.retire(token, cx));
         self.refill(exchange, cx);
     }
@@ -258,7 +268,7 @@
     pub(super) fn observe_call(&self, attempt: crate::engine::AttemptToken, cx: &mut Context) {
         let exchange = self.attempts.get(&attempt).map(|s| s.exchange);
         if let Some((exchange, incarnation)) = exchange.zip(cx.engine.incarnation(attempt)) {
-            cx.engine.heard(cx.now, exchange, incarnation);
+            cx.engine.record_activity(cx.now, exchange, incarnation);
         }
     }
 }
@@ -271,6 +281,6 @@
 
     /// Whether it is known to lead to the process of an incarnation.
     fn leads_to(&self, incarnation: Incarnation, cx: &Context) -> bool {
-        self.incarnation.is_some_and(|i| cx.engine.is_same(self.exchange, i, incarnation))
+        self.incarnation.is_some_and(|i| cx.engine.is_same_process(self.exchange, i, incarnation))
     }
 }
--- a/node/src/net/journal.rs
+++ b/node/src/net/journal.rs
@@ -2,13 +2,13 @@
 
 use super::conn::Conn;
 use super::lines::json;
-use super::{Context, Due, Kind};
-use crate::config::{news, Limits, News};
-use crate::end::End;
-use crate::slots::Token;
+use super::{Context, SourceKind, TimerEvent};
+use crate::arena::Token;
+use crate::config::{parse_list_event, Limits, ListEvent};
+use crate::end::EndReason;
 use mio::net::TcpStream;
 use mio::Interest;
-use slateshed_settings::{at, JsonValue};
+use slateshed_settings::{lookup, JsonValue};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -54,21 +54,21 @@
         self.turn += 1;
         self.last_heard = cx.now;
         let dialled = TcpStream::connect(self.addr).and_then(|mut stream| {
-            let token = Kind::Journal.token(Token::from_bits(self.turn));
+            let token = SourceKind::Journal.token(Token::from_bits(self.turn));
             cx.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-            Ok(Conn::new(stream, self.limits.journal_bounds(), false))
+            Ok(Conn::new(stream, self.limits.journal_buffer_limits(), false))
         });
         match dialled {
             Ok(mut conn) => {
                 // Queued until the connection is up.
                 let _ = conn.send(format!("tail {}\n", self.position).as_bytes());
                 self.conn = Some(conn);
-                cx.deadlines.set(cx.now + cx.dial_timeout, Due::JournalDial(self.turn));
-                cx.deadlines.set(cx.now + SILENT, Due::JournalSilent(self.turn));
+                cx.timers.schedule(cx.now + cx.dial_timeout, TimerEvent::JournalDial(self.turn));
+                cx.timers.schedule(cx.now + SILENT, TimerEvent::JournalSilent(self.turn));
             }
             Err(e) => {
                 cx.log.line(cx.now, "journal-unreachable", e);
-                cx.deadlines.set(cx.now + AGAIN, Due::JournalAgain(self.turn));
+                cx.timers.schedule(cx.now + AGAIN, TimerEvent::JournalAgain(self.turn));
             }
         }
     }
@@ -82,8 +82,8 @@
 
     /// The connection should be up by now.
     pub fn dial_due(&mut self, turn: u64, cx: &mut Context) {
-        if turn == self.turn && self.conn.as_ref().is_some_and(|c| !c.is_up()) {
-            self.end(End::DialTimedOut, cx);
+        if turn == self.turn && self.conn.as_ref().is_some_and(|c| !c.is_connected()) {
+            self.end(EndReason::DialTimedOut, cx);
         }
     }
 
@@ -93,14 +93,14 @@
             return;
         }
         if cx.now >= self.last_heard + SILENT {
-            self.end(End::Silent, cx);
+            self.end(EndReason::PeerSilent, cx);
         } else {
-            cx.deadlines.set(self.last_heard + SILENT, Due::JournalSilent(turn));
+            cx.timers.schedule(self.last_heard + SILENT, TimerEvent::JournalSilent(turn));
         }
     }
 
     /// The connection can be read or written, or has come up. The events that it brings are added to `out`.
-    pub fn ready(&mut self, token: Token, out: &mut Vec<News>, cx: &mut Context) {
+    pub fn ready(&mut self, token: Token, out: &mut Vec<ListEvent>, cx: &mut Context) {
         if token == Token::from_bits(self.turn) {
             if let Err(end) = self.read(out, cx) {
                 self.end(end, cx);
@@ -108,17 +108,17 @@
         }
     }
 
-    fn read(&mut self, out: &mut Vec<News>, cx: &mut Context) -> Result<(), End> {
+    fn read(&mut self, out: &mut Vec<ListEvent>, cx: &mut Context) -> Result<(), EndReason> {
         let Some(conn) = self.conn.as_mut() else {
             return Ok(());
         };
-        if !conn.check_up()? {
+        if !conn.check_connected()? {
             return Ok(());
         }
         conn.flush()?;
         loop {
             let read = conn.fill();
-            while let Some(line) = conn.line()? {
+            while let Some(line) = conn.next_line()? {
                 self.last_heard = cx.now;
                 if line.is_empty() {
                     continue;
@@ -127,14 +127,14 @@
                 if let Some(last) = heartbeat(&value) {
                     // Something that should have come before it has not.
                     if last > self.position as f64 {
-                        return Err(End::Garbage);
+                        return Err(EndReason::MalformedMessage);
                     }
                     continue;
                 }
-                let event = news(&value, &cx.words.zones).map_err(|e| {
+                let event = parse_list_event(&value, &cx.wire.zones).map_err(|e| {
                     let text = String::from_utf8_lossy(&line);
                     cx.log.line(cx.now, "journal-malformed", format_args!("{e}: {text:.200}"));
-                    End::Garbage
+                    EndReason::MalformedMessage
                 })?;
                 if event.position > self.position {
                     self.position = event.position;
@@ -147,25 +147,26 @@
         }
     }
 
-    fn end(&mut self, end: End, cx: &mut Context) {
+    fn end(&mut self, end: EndReason, cx: &mut Context) {
         let Some(mut conn) = self.conn.take() else {
             return;
         };
         let _ = cx.registry.deregister(&mut conn.stream);
         cx.log.line(cx.now, "journal-ended", format_args!("{end} after event {}", self.position));
-        if conn.is_up() && !matches!(end, End::Garbage | End::Oversized) {
+        if conn.is_connected() && !matches!(end, EndReason::MalformedMessage | EndReason::MessageTooLong)
+        {
             self.dial(cx);
         } else {
-            cx.deadlines.set(cx.now + AGAIN, Due::JournalAgain(self.turn));
+            cx.timers.schedule(cx.now + AGAIN, TimerEvent::JournalAgain(self.turn));
         }
     }
 }
 
 /// The last event's number, where the line holds that alone.
 fn heartbeat(line: &JsonValue) -> Option<f64> {
-    match at(line, "hosts") {
+    match lookup(line, "hosts") {
         Some(_) => None,
-        None => line.get::<f64>().or_else(|| at(line, "pos")?.get::<f64>()).copied(),
+        None => line.get::<f64>().or_else(|| lookup(line, "pos")?.get::<f64>()).copied(),
     }
 }
 
--- a/node/src/net/duty.rs
+++ b/node/src/net/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether this process takes new work, and how it gets rid of the connections that bring it.
+//! The lifecycle of this process: whether it accepts new work, and how it sheds client connections.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 const LET_GO_AFTER: Duration = Duration::from_millis(400);
 const END_AFTER: Duration = Duration::from_millis(550);
 
-/// What becomes of the clients' connections.
+/// How client connections are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clients {
-    /// They stay.
-    Stay,
+pub enum ClientPolicy {
+    /// They are kept.
+    Keep,
     /// Each is closed once no call is on it; one that came after this time, as soon as it has its answers and there
     /// is another to tell the end of its calls on.
     Close(Duration),
@@ -28,9 +28,9 @@
     Refuse(Duration),
 }
 
-/// The state of duty.
+/// The lifecycle state: in service, draining or stopping.
 #[derive(Clone, Copy, Debug)]
-pub struct Duty {
+pub struct Lifecycle {
     drained_at: Option<Duration>,
     stopped_at: Option<Duration>,
     /// Another process serves on the same listening socket: it takes what arrives.
@@ -39,11 +39,11 @@
     deadline: Duration,
 }
 
-impl Duty {
-    /// On duty. `deadline`: the longest that a caller waits.
+impl Lifecycle {
+    /// In service. `deadline`: the longest that a caller waits.
     pub fn new(deadline: Duration) -> Self {
         let deadline = deadline.min(MOST_DEADLINE);
-        Duty { drained_at: None, stopped_at: None, replaced: false, deadline }
+        Lifecycle { drained_at: None, stopped_at: None, replaced: false, deadline }
     }
 
     /// An operator has this call controller drained.
@@ -75,24 +75,24 @@
         self.drained_at.is_none() && !self.is_stopping()
     }
 
-    /// Whether it leaves new connections to the process that replaces it.
-    pub fn leaves_door(&self) -> bool {
+    /// Whether new connections are left to the process that replaces this one.
+    pub fn yields_listener(&self) -> bool {
         self.replaced && self.is_stopping()
     }
 
-    /// What becomes of the clients' connections at a time.
-    pub fn clients(&self, now: Duration) -> Clients {
+    /// How client connections are treated at a time.
+    pub fn client_policy(&self, now: Duration) -> ClientPolicy {
         match self.drained_at {
             // What stands need not be told of: whoever is left at the end takes it over.
-            _ if self.leaves_door() => Clients::Close(Duration::ZERO),
-            Some(at) if now >= at + REFUSED_AFTER => Clients::Refuse(at + NOTICED_AFTER),
-            Some(at) if now >= at + NOTICED_AFTER => Clients::Close(at + NOTICED_AFTER),
-            _ => Clients::Stay,
+            _ if self.yields_listener() => ClientPolicy::Close(Duration::ZERO),
+            Some(at) if now >= at + REFUSED_AFTER => ClientPolicy::Refuse(at + NOTICED_AFTER),
+            Some(at) if now >= at + NOTICED_AFTER => ClientPolicy::Close(at + NOTICED_AFTER),
+            _ => ClientPolicy::Keep,
         }
     }
 
     /// When that or the end next has to be looked at again.
-    pub fn next(&self, now: Duration) -> Option<Duration> {
+    pub fn next_step(&self, now: Duration) -> Option<Duration> {
         let drained = self.drained_at.map(|at| [at + NOTICED_AFTER, at + REFUSED_AFTER]);
         let deadline = self.deadline;
         let steps = [STOP_TAKES, deadline, deadline + LET_GO_AFTER, deadline + END_AFTER];
@@ -114,7 +114,7 @@
 
     /// After a planned stop: whether calls that still stand are let go. Until then their ends are passed on, except
     /// where another process has taken over the clients.
-    pub fn lets_go(&self, now: Duration) -> bool {
+    pub fn abandons_calls(&self, now: Duration) -> bool {
         let wait = if self.replaced { STOP_TAKES } else { self.deadline + LET_GO_AFTER };
         self.stopped_at.is_some_and(|at| now >= at + wait)
     }
@@ -134,17 +134,23 @@
     #[test]
     fn a_drain_goes_by_steps_and_back() {
         let at = Duration::from_millis;
-        let mut duty = Duty::new(Duration::from_secs(9));
-        assert!(duty.is_ready());
-        duty.drain(at(1000));
-        duty.drain(at(1500));
-        assert!(!duty.is_ready());
-        let steps = [1300, 1700, 2900].map(|ms| duty.clients(at(ms)));
-        assert_eq!(steps, [Clients::Stay, Clients::Close(at(1600)), Clients::Refuse(at(1600))]);
-        assert_eq!(duty.next(at(1000)), Some(at(1600)), "the first call counts");
-        duty.join();
-        assert!(duty.is_ready());
-        assert_eq!((duty.clients(at(9000)), duty.next(at(1000))), (Clients::Stay, None));
+        let mut lifecycle = Lifecycle::new(Duration::from_secs(9));
+        assert!(lifecycle.is_ready());
+        lifecycle.drain(at(1000));
+        lifecycle.drain(at(1500));
+        assert!(!lifecycle.is_ready());
+        let steps = [1300, 1700, 2900].map(|ms| lifecycle.client_policy(at(ms)));
+        assert_eq!(
+            steps,
+            [ClientPolicy::Keep, ClientPolicy::Close(at(1600)), ClientPolicy::Refuse(at(1600))]
+        );
+        assert_eq!(lifecycle.next_step(at(1000)), Some(at(1600)), "the first call counts");
+        lifecycle.join();
+        assert!(lifecycle.is_ready());
+        assert_eq!(
+            (lifecycle.client_policy(at(9000)), lifecycle.next_step(at(1000))),
+            (ClientPolicy::Keep, None)
+        );
     }
 
     /// Guards against two processes that both take what arrives, one of which is about to end.
@@ -152,13 +158,21 @@
     fn at_a_stop_the_door_is_left_to_the_process_that_replaces_this_one() {
         let at = Duration::from_millis;
         for replaced in [true, false] {
-            let mut duty = Duty::new(at(9000));
-            assert!(duty.stop(at(1000), replaced).is_some() && duty.stop(at(2000), true).is_none());
-            assert_eq!(duty.leaves_door(), replaced);
-            assert!(!duty.is_ready() && !duty.may_end(at(1500)) && duty.may_end(at(1900)));
-            assert_eq!(duty.lets_go(at(1900)), replaced, "the ends of calls are passed on");
+            let mut lifecycle = Lifecycle::new(at(9000));
+            assert!(
+                lifecycle.stop(at(1000), replaced).is_some() && lifecycle.stop(at(2000), true).is_none()
+            );
+            assert_eq!(lifecycle.yields_listener(), replaced);
+            assert!(
+                !lifecycle.is_ready() && !lifecycle.may_end(at(1500)) && lifecycle.may_end(at(1900))
+            );
+            assert_eq!(lifecycle.abandons_calls(at(1900)), replaced, "the ends of calls are passed on");
             // Killed after the deadline, three seconds of it at most, and 0.7 s more.
-            assert!(duty.lets_go(at(4400)) && !duty.must_end(at(4500)) && duty.must_end(at(4600)));
+            assert!(
+                lifecycle.abandons_calls(at(4400))
+                    && !lifecycle.must_end(at(4500))
+                    && lifecycle.must_end(at(4600))
+            );
         }
     }
 }
--- a/node/src/net/lines.rs
+++ b/node/src/net/lines.rs
@@ -1,12 +1,12 @@
 //! The platform's messages: one JSON object a line.
 
-use crate::end::End;
+use crate::end::EndReason;
 use std::collections::HashMap;
 use std::fmt::Write;
 use tinyjson::JsonValue;
 
-/// Most bytes of a message.
-pub const LIMIT: usize = 16 * 1024;
+/// Maximum bytes of a message.
+pub const MAX_MESSAGE: usize = 16 * 1024;
 /// Deepest nesting that is read; messages have two levels, events of the list four.
 const DEEPEST: usize = 16;
 
@@ -26,9 +26,9 @@
 }
 
 /// Reads JSON that a peer sent.
-pub fn json(line: &[u8]) -> Result<JsonValue, End> {
-    let text = std::str::from_utf8(line).map_err(|_| End::Garbage)?;
-    slateshed_settings::json(text, DEEPEST).map_err(|_| End::Garbage)
+pub fn json(line: &[u8]) -> Result<JsonValue, EndReason> {
+    let text = std::str::from_utf8(line).map_err(|_| EndReason::MalformedMessage)?;
+    slateshed_settings::parse_json(text, DEEPEST).map_err(|_| EndReason::MalformedMessage)
 }
 
 fn word(value: &JsonValue) -> Option<String> {
@@ -41,14 +41,14 @@
 
 impl Message {
     /// Reads a message.
-    pub fn parse(line: &[u8]) -> Result<Self, End> {
+    pub fn parse(line: &[u8]) -> Result<Self, EndReason> {
         let JsonValue::Object(mut fields) = json(line)? else {
-            return Err(End::Garbage);
+            return Err(EndReason::MalformedMessage);
         };
         let mut text = |name: &str| match fields.remove(name) {
             Some(JsonValue::String(s)) => Ok(Some(s)),
             None | Some(JsonValue::Null) => Ok(None),
-            _ => Err(End::Garbage),
+            _ => Err(EndReason::MalformedMessage),
         };
         let (verb, tag, blob) = (text("verb")?, text("tag")?, text("blob")?);
         let opts = match fields.remove("opts") {
@@ -56,14 +56,20 @@
                 o.iter().filter_map(|(k, v)| Some((k.clone(), word(v)?))).collect()
             }
             None | Some(JsonValue::Null) => HashMap::new(),
-            _ => return Err(End::Garbage),
+            _ => return Err(EndReason::MalformedMessage),
         };
         let rc = match fields.remove("rc") {
             Some(JsonValue::Number(n)) if n.fract() == 0.0 && (0.0..1e9).contains(&n) => Some(n as u32),
             None | Some(JsonValue::Null) => None,
-            _ => return Err(End::Garbage),
+            _ => return Err(EndReason::MalformedMessage),
         };
-        Ok(Message { verb: verb.ok_or(End::Garbage)?, tag: tag.unwrap_or_default(), opts, rc, blob })
+        Ok(Message {
+            verb: verb.ok_or(EndReason::MalformedMessage)?,
+            tag: tag.unwrap_or_default(),
+            opts,
+            rc,
+            blob,
+        })
     }
 
     /// A field, empty where there is none.
@@ -78,7 +84,7 @@
 }
 
 /// The value of a name in a list such as `x0:12;x1:40`.
-pub fn figure(list: &str, name: &str) -> Option<f64> {
+pub fn list_value(list: &str, name: &str) -> Option<f64> {
     let mut pairs = list.split(';').filter_map(|p| p.split_once(':'));
     let value: f64 = pairs.find(|(n, _)| *n == name)?.1.parse().ok()?;
     value.is_finite().then_some(value)
@@ -132,13 +138,13 @@
     /// Guards against input that ends the process: a deep nest would overflow the parser's stack.
     #[test]
     fn what_is_no_message_is_garbage() {
-        let deep = "[".repeat(LIMIT);
+        let deep = "[".repeat(MAX_MESSAGE);
         let nest = format!("{{\"verb\":{}", "{\"a\":".repeat(3000));
         for bad in
             ["", "{", "41", "{}", "{\"verb\":3}", "{\"verb\":\"A\",\"rc\":-1}", &deep, &nest, "\u{0}"]
         {
-            assert_eq!(Message::parse(bad.as_bytes()), Err(End::Garbage), "{bad:.20}");
+            assert_eq!(Message::parse(bad.as_bytes()), Err(EndReason::MalformedMessage), "{bad:.20}");
         }
-        assert_eq!(Message::parse(b"\"\xff\""), Err(End::Garbage));
+        assert_eq!(Message::parse(b"\"\xff\""), Err(EndReason::MalformedMessage));
     }
 }
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -2,45 +2,45 @@
 
 pub mod clients;
 pub mod conn;
-pub mod duty;
 pub mod exchanges;
 pub mod inherited;
 pub mod journal;
+pub mod lifecycle;
 pub mod lines;
 pub mod operators;
 pub mod sip;
 
-use crate::config::{Config, News, Words};
-use crate::deadlines::Deadlines;
-use crate::engine::{Command, Engine, Wake};
-use crate::figures::{self, Reloads};
+use crate::arena::Token;
+use crate::config::{Config, ListEvent, WireConfig};
+use crate::engine::{Command, Engine, EngineTimer};
 use crate::log::Log;
-use crate::slots::Token;
+use crate::stats::{self, Reloads};
+use crate::timers::TimerQueue;
 use clients::Clients;
-use duty::Duty;
 use exchanges::Exchanges;
 use inherited::Serving;
 use journal::Journal;
+use lifecycle::Lifecycle;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry};
 use operators::{Call, Operators};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use sip::{Sip, SipDue};
-use slateshed::{ExchangeId, ExchangeNumber, Layout};
+use slateshed::{ExchangeId, ExchangeNumber, Topology};
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Whoever connects and has said nothing whole within this time is closed on, on either front; so is one whose
 /// message has begun and is not whole by then. Some take two seconds to write one.
-pub const SAY_WITHIN: Duration = Duration::from_millis(2700);
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2700);
 
 /// Connections accepted in one turn, on any listener. The rest are in the next, after all others have had theirs.
-const ACCEPTS: usize = 64;
+const ACCEPT_BATCH: usize = 64;
 
-/// What a poll token belongs to; the rest of it is a slot token.
+/// The kind of event source that a poll token belongs to; the rest of the poll token is an arena token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SourceKind {
     /// The listener for clients.
     Listener,
     /// The signals.
@@ -63,18 +63,18 @@
     Operator,
 }
 
-impl Kind {
-    const ALL: [Kind; 10] = [
-        Kind::Listener,
-        Kind::Signals,
-        Kind::Client,
-        Kind::Exchange,
-        Kind::Journal,
-        Kind::SipDatagrams,
-        Kind::SipListener,
-        Kind::SipStream,
-        Kind::OperatorListener,
-        Kind::Operator,
+impl SourceKind {
+    const ALL: [SourceKind; 10] = [
+        SourceKind::Listener,
+        SourceKind::Signals,
+        SourceKind::Client,
+        SourceKind::Exchange,
+        SourceKind::Journal,
+        SourceKind::SipDatagrams,
+        SourceKind::SipListener,
+        SourceKind::SipStream,
+        SourceKind::OperatorListener,
+        SourceKind::Operator,
     ];
 
     /// The poll token of a slot.
@@ -82,27 +82,27 @@
         mio::Token((self as usize) << 60 | token.bits() as usize)
     }
 
-    fn split(token: mio::Token) -> (Option<Kind>, Token) {
+    fn split(token: mio::Token) -> (Option<SourceKind>, Token) {
         let slot = Token::from_bits((token.0 & ((1 << 60) - 1)) as u64);
         (Self::ALL.get(token.0 >> 60).copied(), slot)
     }
 }
 
-/// All that can become due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// Something of the engine.
-    Engine(Wake),
+    Engine(EngineTimer),
     /// Accepting may work again.
     Accept,
     /// A connection to an exchange should be up.
-    Dial(Token),
+    DialTimeout(Token),
     /// A client should have said something, or have ended its message.
     Client(Token),
-    /// A message of an exchange should have got whole.
-    Part(Token),
-    /// An exchange should have closed a connection that is closed on it.
-    Closing(Token),
+    /// A message of an exchange should have been completed.
+    PartialMessage(Token),
+    /// An exchange should have closed its side of a connection that was closed here.
+    CloseTimeout(Token),
     /// An exchange is to be dialled again.
     Redial(ExchangeId),
     /// The journal service is to be dialled again.
@@ -123,9 +123,9 @@
     Operator(Token),
 }
 
-impl From<Wake> for Due {
-    fn from(wake: Wake) -> Self {
-        Due::Engine(wake)
+impl From<EngineTimer> for TimerEvent {
+    fn from(due: EngineTimer) -> Self {
+        TimerEvent::Engine(due)
     }
 }
 
@@ -135,18 +135,18 @@
     pub now: Duration,
     /// The engine.
     pub engine: &'a mut Engine,
-    /// All deadlines.
-    pub deadlines: &'a mut Deadlines<Due>,
+    /// All timers.
+    pub timers: &'a mut TimerQueue<TimerEvent>,
     /// The log.
     pub log: &'a mut Log,
-    /// Names that messages use.
-    pub words: &'a Words,
+    /// Settings for reading messages.
+    pub wire: &'a WireConfig,
     /// Where sockets are registered.
     pub registry: &'a Registry,
     /// How long a connection may take to come up.
     pub dial_timeout: Duration,
-    /// Whether this process takes new work.
-    pub duty: Duty,
+    /// The lifecycle state of this process.
+    pub lifecycle: Lifecycle,
 }
 
 /// The clock of the program and of the decision module: steady, and counted from the Unix epoch, so that
@@ -175,22 +175,22 @@
     let mut events = Events::with_capacity(1024);
     let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT])?;
     let none = Token::from_bits(0);
-    poll.registry().register(&mut signals, Kind::Signals.token(none), Interest::READABLE)?;
-    let mut listener = match config.inherited {
+    poll.registry().register(&mut signals, SourceKind::Signals.token(none), Interest::READABLE)?;
+    let mut listener = match config.inherited_fd {
         Some(descriptor) => {
             TcpListener::from_std(inherited::listener(descriptor).map_err(named("ROUTER_SOCKET_FD"))?)
         }
         None => TcpListener::bind(config.listen).map_err(named("listen"))?,
     };
-    poll.registry().register(&mut listener, Kind::Listener.token(none), Interest::READABLE)?;
+    poll.registry().register(&mut listener, SourceKind::Listener.token(none), Interest::READABLE)?;
     let listen = listener.local_addr()?;
     let registry = poll.registry().try_clone()?;
-    let here = match config.settings.layout {
-        Layout::Mesh { here } => Some(here),
-        Layout::Pools => None,
+    let local = match config.settings.topology {
+        Topology::Mesh { local } => Some(local),
+        Topology::Pools => None,
     };
     let mut engine = Engine::new(config.settings.clone(), config.seed).map_err(io::Error::other)?;
-    let (mut deadlines, mut log) = (Deadlines::default(), Log::new(&config.name));
+    let (mut timers, mut log) = (TimerQueue::default(), Log::new(&config.name));
     let mut clients = Clients::new(listener, config.limits);
     let mut exchanges = Exchanges::new(config.limits);
     let mut journal = Journal::new(config.journal, config.position, config.limits);
@@ -204,27 +204,27 @@
         }
         None => None,
     };
-    let deadline = config.words.deadlines.iter().max().copied().unwrap_or_default();
-    let mut duty = Duty::new(deadline);
+    let deadline = config.wire.deadlines.iter().max().copied().unwrap_or_default();
+    let mut lifecycle = Lifecycle::new(deadline);
     let mut reloads = Reloads::default();
     // Last of all that can fail: from here on the process before is the one that is replaced.
-    let serving = match config.inherited {
+    let serving = match config.inherited_fd {
         Some(_) => Some(Serving::take_over(&std::env::temp_dir(), listen).map_err(named("TMPDIR"))?),
         None => None,
     };
-    let mut changes: Vec<News> = config.known.clone();
+    let mut changes: Vec<ListEvent> = config.known.clone();
     let mut started = false;
     loop {
         let now = clock.now();
         let mut cx = Context {
             now,
             engine: &mut engine,
-            deadlines: &mut deadlines,
+            timers: &mut timers,
             log: &mut log,
-            words: &config.words,
+            wire: &config.wire,
             registry: &registry,
             dial_timeout: config.dial_timeout,
-            duty,
+            lifecycle,
         };
         if !started {
             started = true;
@@ -243,15 +243,17 @@
         sip.iter_mut().for_each(|s| s.read_on(&mut cx));
         operators.iter_mut().for_each(|o| o.read_on(&mut cx));
         for event in &events {
-            match Kind::split(event.token()) {
-                (Some(Kind::Listener), _) => clients.accept(&mut cx),
-                (Some(Kind::Client), token) => clients.ready(token, &mut cx),
-                (Some(Kind::Exchange), token) => exchanges.ready(token, &mut cx),
-                (Some(Kind::Journal), token) => journal.ready(token, &mut changes, &mut cx),
-                (Some(Kind::SipDatagrams), _) => sip.iter_mut().for_each(|s| s.datagrams(&mut cx)),
-                (Some(Kind::SipListener), _) => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
-                (Some(Kind::SipStream), token) => sip.iter_mut().for_each(|s| s.stream(token, &mut cx)),
-                (Some(Kind::Signals), _) => {
+            match SourceKind::split(event.token()) {
+                (Some(SourceKind::Listener), _) => clients.accept(&mut cx),
+                (Some(SourceKind::Client), token) => clients.ready(token, &mut cx),
+                (Some(SourceKind::Exchange), token) => exchanges.ready(token, &mut cx),
+                (Some(SourceKind::Journal), token) => journal.ready(token, &mut changes, &mut cx),
+                (Some(SourceKind::SipDatagrams), _) => sip.iter_mut().for_each(|s| s.datagrams(&mut cx)),
+                (Some(SourceKind::SipListener), _) => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
+                (Some(SourceKind::SipStream), token) => {
+                    sip.iter_mut().for_each(|s| s.stream(token, &mut cx))
+                }
+                (Some(SourceKind::Signals), _) => {
                     for signal in signals.pending() {
                         if signal == SIGHUP {
                             // A file that is wrong, or gone, changes nothing.
@@ -266,21 +268,21 @@
                                 }
                             }
                         } else if let Some(by) =
-                            cx.duty.stop(now, serving.as_ref().is_some_and(Serving::is_taken_over))
+                            cx.lifecycle.stop(now, serving.as_ref().is_some_and(Serving::is_taken_over))
                         {
-                            let owed = cx.engine.owed();
+                            let owed = cx.engine.unanswered_calls();
                             cx.log.line(now, "stopping", format_args!("{owed} answers owed"));
-                            cx.engine.stop(by, cx.deadlines);
-                            if cx.duty.leaves_door() {
+                            cx.engine.stop(by, cx.timers);
+                            if cx.lifecycle.yields_listener() {
                                 clients.leave_door(&mut cx);
                             }
                         }
                     }
                 }
-                (Some(Kind::OperatorListener), _) => {
+                (Some(SourceKind::OperatorListener), _) => {
                     operators.iter_mut().for_each(|o| o.accept(&mut cx));
                 }
-                (Some(Kind::Operator), token) => {
+                (Some(SourceKind::Operator), token) => {
                     let Some(operators) = operators.as_mut() else {
                         continue;
                     };
@@ -294,9 +296,9 @@
         }
         for change in changes.drain(..) {
             let lines: Vec<_> = change.lines.iter().map(|(l, _)| l.clone()).collect();
-            cx.engine.list(now, change.whole, &lines, cx.deadlines);
+            cx.engine.update_list(now, change.full, &lines, cx.timers);
             let by_sip = |n| sip.as_ref().is_some_and(|s| s.serves(n));
-            let by_lines = |n: ExchangeNumber| Some(n) != here && !by_sip(n);
+            let by_lines = |n: ExchangeNumber| Some(n) != local && !by_sip(n);
             let mut named = Vec::new();
             for (listed, addr) in &change.lines {
                 if let Some(id) = cx.engine.exchange(&listed.name).filter(|_| by_lines(listed.number)) {
@@ -304,39 +306,41 @@
                     exchanges.listed(id, *addr, listed.phase, &mut cx);
                 }
             }
-            if change.whole {
+            if change.full {
                 exchanges.keep_only(&named, &mut cx);
             }
-            cx.engine.forget_gone();
+            cx.engine.remove_gone();
             cx.log.line(now, "list", format_args!("event {}, {} lines", change.position, lines.len()));
         }
-        while let Some(due) = cx.deadlines.pop(now) {
+        while let Some(due) = cx.timers.pop_due(now) {
             match due {
-                Due::Engine(wake) => cx.engine.wake(now, wake, cx.deadlines),
-                Due::Accept => clients.accept_due(&mut cx),
-                Due::Client(token) => clients.due(token, &mut cx),
-                Due::Part(token) => exchanges.part_due(token, &mut cx),
-                Due::Closing(token) => exchanges.closing_due(token, &mut cx),
-                Due::Dial(token) => exchanges.dial_due(token, &mut cx),
-                Due::Redial(exchange) => exchanges.redial_due(exchange, &mut cx),
-                Due::JournalAgain(turn) => journal.again_due(turn, &mut cx),
-                Due::JournalDial(turn) => journal.dial_due(turn, &mut cx),
-                Due::JournalSilent(turn) => journal.silent_due(turn, &mut cx),
-                Due::Sip(due) => sip.iter_mut().for_each(|s| s.due(due, &mut cx)),
-                Due::SipAccept => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
-                Due::SipStream(token) => sip.iter_mut().for_each(|s| s.stream_due(token, &mut cx)),
-                Due::OperatorAccept => operators.iter_mut().for_each(|o| o.accept(&mut cx)),
-                Due::Operator(token) => operators.iter_mut().for_each(|o| o.due(token, &mut cx)),
+                TimerEvent::Engine(due) => cx.engine.timer_due(now, due, cx.timers),
+                TimerEvent::Accept => clients.accept_due(&mut cx),
+                TimerEvent::Client(token) => clients.due(token, &mut cx),
+                TimerEvent::PartialMessage(token) => exchanges.part_due(token, &mut cx),
+                TimerEvent::CloseTimeout(token) => exchanges.closing_due(token, &mut cx),
+                TimerEvent::DialTimeout(token) => exchanges.dial_due(token, &mut cx),
+                TimerEvent::Redial(exchange) => exchanges.redial_due(exchange, &mut cx),
+                TimerEvent::JournalAgain(turn) => journal.again_due(turn, &mut cx),
+                TimerEvent::JournalDial(turn) => journal.dial_due(turn, &mut cx),
+                TimerEvent::JournalSilent(turn) => journal.silent_due(turn, &mut cx),
+                TimerEvent::Sip(due) => sip.iter_mut().for_each(|s| s.due(due, &mut cx)),
+                TimerEvent::SipAccept => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
+                TimerEvent::SipStream(token) => {
+                    sip.iter_mut().for_each(|s| s.stream_due(token, &mut cx))
+                }
+                TimerEvent::OperatorAccept => operators.iter_mut().for_each(|o| o.accept(&mut cx)),
+                TimerEvent::Operator(token) => operators.iter_mut().for_each(|o| o.due(token, &mut cx)),
             }
         }
-        if cx.duty.lets_go(now) {
-            cx.engine.release_doubted(now, cx.deadlines);
+        if cx.lifecycle.abandons_calls(now) {
+            cx.engine.release_suspected(now, cx.timers);
         }
-        if cx.duty.ends_dialogs(now) && cx.engine.owed() == 0 {
+        if cx.lifecycle.ends_dialogs(now) && cx.engine.unanswered_calls() == 0 {
             sip.iter_mut().for_each(|s| s.end_dialogs(&mut cx));
         }
         loop {
-            while let Some(upkeep) = cx.engine.next_upkeep() {
+            while let Some(upkeep) = cx.engine.next_connection_request() {
                 let number = cx.engine.number(upkeep.exchange());
                 match sip.as_mut().filter(|s| number.is_some_and(|n| s.serves(n))) {
                     Some(sip) => sip.upkeep(upkeep, &mut cx),
@@ -350,9 +354,9 @@
                 };
                 let by_sip = |s: &&mut Sip| match &command {
                     Command::SetUp { .. } => number.is_some_and(|n| s.serves(n)),
-                    Command::GiveUp(a) | Command::ReleaseExchange(a, _) | Command::Forget(a) => {
-                        s.sent(*a)
-                    }
+                    Command::CancelAttempt(a)
+                    | Command::ReleaseExchange(a, _)
+                    | Command::ForgetAttempt(a) => s.sent(*a),
                     Command::Answer(c, _) | Command::Refuse(c, _) => s.owns(*c),
                     Command::Fail(c) | Command::ReleaseCaller(c, _) => s.owns(*c),
                 };
@@ -369,22 +373,27 @@
                 break;
             }
         }
-        while let Some(notice) = cx.engine.next_notice() {
-            cx.log.limited(now, notice.kind(), notice.most(), &notice);
+        while let Some(notice) = cx.engine.next_log_event() {
+            cx.log.line_limited(now, notice.kind(), notice.max_lines(), &notice);
         }
-        if cx.duty.may_end(now) && cx.engine.owed() == 0 {
+        if cx.lifecycle.may_end(now) && cx.engine.unanswered_calls() == 0 {
             let sip_settled = sip.as_ref().is_none_or(Sip::is_settled);
             let told = operators.as_ref().is_none_or(Operators::is_flushed);
             let flushed = clients.is_flushed() && exchanges.is_flushed() && sip_settled && told;
-            let gone = !cx.duty.leaves_door() || clients.is_empty();
-            let over = cx.duty.lets_go(now) || cx.engine.standing() == 0 && !clients.is_asked();
-            if flushed && gone && over || cx.duty.must_end(now) {
-                cx.log.line(now, "stopped", format_args!("{} calls stand", cx.engine.standing()));
+            let gone = !cx.lifecycle.yields_listener() || clients.is_empty();
+            let over = cx.lifecycle.abandons_calls(now)
+                || cx.engine.established_calls() == 0 && !clients.is_asked();
+            if flushed && gone && over || cx.lifecycle.must_end(now) {
+                cx.log.line(
+                    now,
+                    "stopped",
+                    format_args!("{} calls stand", cx.engine.established_calls()),
+                );
                 return Ok(());
             }
         }
-        duty = cx.duty;
-        let next = deadlines.next().into_iter().chain(duty.next(now)).min();
+        lifecycle = cx.lifecycle;
+        let next = timers.next_due().into_iter().chain(lifecycle.next_step(now)).min();
         let wait = next.map(|at| at.saturating_sub(clock.now()));
         // Rounded up, since a poll that ends early would only spin.
         let wait = wait.map(|w| w + Duration::from_micros(999)).map(|w| w.min(Duration::from_secs(1)));
@@ -409,20 +418,20 @@
 fn answer(call: Call, reloads: Reloads, cx: &mut Context) -> String {
     let now = cx.now;
     match call {
-        Call::Health if cx.duty.is_stopping() => "error stopping\n".to_owned(),
+        Call::Health if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
         Call::Health => "done\n".to_owned(),
         Call::Dump => {
-            format!("{}\nend\n", figures::json(&cx.engine.figures(), reloads, &cx.words.classes))
+            format!("{}\nend\n", stats::json(&cx.engine.stats(), reloads, &cx.wire.classes))
         }
         Call::Leave => {
-            cx.log.line(now, "drained", format_args!("{} answers owed", cx.engine.owed()));
-            cx.duty.drain(now);
+            cx.log.line(now, "drained", format_args!("{} answers owed", cx.engine.unanswered_calls()));
+            cx.lifecycle.drain(now);
             "done\n".to_owned()
         }
-        Call::Join if cx.duty.is_stopping() => "error stopping\n".to_owned(),
+        Call::Join if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
         Call::Join => {
             cx.log.line(now, "joined", "at work again");
-            cx.duty.join();
+            cx.lifecycle.join();
             "done\n".to_owned()
         }
     }
--- a/node/src/net/operators.rs
+++ b/node/src/net/operators.rs
@@ -1,10 +1,10 @@
 //! Where operators call: one line a connection, answered at once.
 
 use super::conn::Conn;
-use super::{Context, Due, Kind, ACCEPTS, SAY_WITHIN};
+use super::{Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
+use crate::arena::{Arena, Token};
 use crate::config::Limits;
-use crate::end::End;
-use crate::slots::{Slots, Token};
+use crate::end::EndReason;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
 use std::io::{self, ErrorKind};
@@ -49,7 +49,7 @@
 pub struct Operators {
     listener: TcpListener,
     limits: Limits,
-    conns: Slots<Operator>,
+    conns: Arena<Operator>,
     /// More may wait to be accepted than one turn allows.
     unaccepted: bool,
 }
@@ -58,9 +58,9 @@
     /// Listens.
     pub fn bind(addr: SocketAddr, limits: Limits, registry: &Registry) -> io::Result<Self> {
         let mut listener = TcpListener::bind(addr)?;
-        let token = Kind::OperatorListener.token(Token::from_bits(0));
+        let token = SourceKind::OperatorListener.token(Token::from_bits(0));
         registry.register(&mut listener, token, Interest::READABLE)?;
-        Ok(Operators { listener, limits, conns: Slots::default(), unaccepted: false })
+        Ok(Operators { listener, limits, conns: Arena::default(), unaccepted: false })
     }
 
     /// Where it listens.
@@ -82,7 +82,7 @@
 
     /// Accepts those that wait. Whoever was there longest makes way: nobody who asks stays for long.
     pub fn accept(&mut self, cx: &mut Context) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..ACCEPT_BATCH {
             match self.listener.accept() {
                 Ok((stream, _)) => self.add(stream, cx),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -91,7 +91,7 @@
                 Err(e) => {
                     cx.log.line(cx.now, "operator-accept-failed", e);
                     if !self.make_way(cx) {
-                        cx.deadlines.set(cx.now + ACCEPT_AGAIN, Due::OperatorAccept);
+                        cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::OperatorAccept);
                         return;
                     }
                 }
@@ -110,15 +110,15 @@
         if self.conns.len() >= self.limits.operators() {
             self.make_way(cx);
         }
-        let (registry, bounds, since) = (cx.registry, self.limits.operator_bounds(), cx.now);
+        let (registry, bounds, since) = (cx.registry, self.limits.operator_buffer_limits(), cx.now);
         let mut registered = Ok(());
         let token = self.conns.insert_with(|token| {
             let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, Kind::Operator.token(token), both);
+            registered = registry.register(&mut stream, SourceKind::Operator.token(token), both);
             Operator { conn: Conn::new(stream, bounds, true), since, answered: false }
         });
         match registered {
-            Ok(()) => cx.deadlines.set(since + SAY_WITHIN, Due::Operator(token)),
+            Ok(()) => cx.timers.schedule(since + MESSAGE_TIMEOUT, TimerEvent::Operator(token)),
             Err(_) => drop(self.conns.remove(token)),
         }
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    fn read(&mut self, token: Token) -> Result<Option<Call>, End> {
+    fn read(&mut self, token: Token) -> Result<Option<Call>, EndReason> {
         let Some(operator) = self.conns.get_mut(token) else {
             return Ok(None);
         };
@@ -156,7 +156,7 @@
             operator.conn.received().clear();
             return read.map(|_| None);
         }
-        let Some(line) = operator.conn.line()? else {
+        let Some(line) = operator.conn.next_line()? else {
             return read.map(|_| None);
         };
         match Call::read(&line) {
@@ -182,7 +182,7 @@
 }
 
 impl Operator {
-    fn answer(&mut self, text: &str) -> Result<(), End> {
+    fn answer(&mut self, text: &str) -> Result<(), EndReason> {
         self.answered = true;
         self.conn.send(text.as_bytes())?;
         self.hang_up()
@@ -190,9 +190,9 @@
 
     /// Ends the own direction once the answer is written. The other side closes then; to close first could reset
     /// the connection before the answer is read.
-    fn hang_up(&mut self) -> Result<(), End> {
+    fn hang_up(&mut self) -> Result<(), EndReason> {
         if self.answered && self.conn.is_flushed() {
-            self.conn.stream.shutdown(Shutdown::Write).map_err(|_| End::Broken)?;
+            self.conn.stream.shutdown(Shutdown::Write).map_err(|_| EndReason::ConnectionBroken)?;
         }
         Ok(())
     }
--- a/node/src/net/sip/checks.rs
+++ b/node/src/net/sip/checks.rs
@@ -2,10 +2,10 @@
 //! section 11), where the settings allow to ask. Any response is a sign of life; 481 says that the dialog is gone.
 
 use super::{Party, Sip, State};
-use crate::end::End;
-use crate::engine::Upkeep;
+use crate::arena::Token;
+use crate::end::EndReason;
+use crate::engine::ConnectionRequest;
 use crate::net::Context;
-use crate::slots::Token;
 use slateshed::ExchangeId;
 
 /// "Call/Transaction Does Not Exist".
@@ -13,8 +13,8 @@
 
 impl Sip {
     /// Carries out what the engine wants of an exchange. What has stood at one that is gone is ended call by call.
-    pub fn upkeep(&mut self, upkeep: Upkeep, cx: &mut Context) {
-        if let Upkeep::Check(exchange, _) = upkeep {
+    pub fn upkeep(&mut self, upkeep: ConnectionRequest, cx: &mut Context) {
+        if let ConnectionRequest::Check(exchange, _) = upkeep {
             self.check(exchange, cx);
         }
     }
@@ -27,12 +27,12 @@
         };
         let standing = self.legs.iter().filter(|(_, l)| l.state == State::Standing && there(l.party));
         let leg = standing.min_by_key(|(_, l)| l.checked).map(|(token, _)| token);
-        let Some(leg) = leg.filter(|_| cx.words.may_probe) else {
+        let Some(leg) = leg.filter(|_| cx.wire.may_probe) else {
             return;
         };
         let name = cx.engine.name(exchange);
         cx.log.line(cx.now, "exchange-checked", format_args!("exchange={name} by=OPTIONS"));
-        cx.engine.began_check(cx.now, exchange, true);
+        cx.engine.check_started(cx.now, exchange, true);
         self.send_options(leg, cx);
         self.send_all(cx);
     }
@@ -68,11 +68,11 @@
         let Some(Party::Exchange(attempt)) = self.legs.get(leg).map(|l| l.party) else {
             return true;
         };
-        cx.engine.heard_at(cx.now, attempt);
+        cx.engine.record_attempt_activity(cx.now, attempt);
         if status == NO_SUCH_CALL {
             let exchange = cx.engine.exchange_of(attempt);
             self.over(leg, cx);
-            cx.engine.attempt_ended(cx.now, attempt, End::Lost, cx.deadlines);
+            cx.engine.attempt_ended(cx.now, attempt, EndReason::ExchangeDead, cx.timers);
             // A process that does not know one of its dialogs may know none of them.
             exchange.into_iter().for_each(|e| self.check(e, cx));
         }
