--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -3,10 +3,10 @@
 use super::dialog::Dialog;
 use super::message;
 use super::{Leg, Party, Sip, SipDue, State, ALLOW};
-use crate::end::End;
-use crate::engine::{AttemptToken, Command, Offer};
-use crate::net::{Context, Due};
-use crate::slots::Token;
+use crate::arena::Token;
+use crate::end::EndReason;
+use crate::engine::{AttemptToken, CallInfo, Command};
+use crate::net::{Context, TimerEvent};
 use ezk_sip_types::Headers;
 use slateshed::ExchangeNumber;
 use std::rc::Rc;
@@ -16,16 +16,14 @@
     /// Carries out a command of the engine.
     pub fn command(&mut self, command: Command, number: Option<ExchangeNumber>, cx: &mut Context) {
         match command {
-            Command::SetUp { attempt, offer, wait, .. } => {
-                self.set_up(attempt, &offer, wait, number, cx)
-            }
-            Command::GiveUp(attempt) => {
+            Command::SetUp { attempt, info, wait, .. } => self.set_up(attempt, &info, wait, number, cx),
+            Command::CancelAttempt(attempt) => {
                 if let Some(leg) = self.by_attempt.get(&attempt).copied() {
                     self.over(leg, cx);
                     self.send_cancel(leg, cx.now);
                 }
             }
-            Command::ReleaseExchange(attempt, _) | Command::Forget(attempt) => {
+            Command::ReleaseExchange(attempt, _) | Command::ForgetAttempt(attempt) => {
                 if let Some(leg) = self.by_attempt.get(&attempt).copied() {
                     self.say_bye(leg, cx);
                 }
@@ -64,18 +62,18 @@
     pub(super) fn set_up(
         &mut self,
         attempt: AttemptToken,
-        offer: &Offer,
+        info: &CallInfo,
         wait: Duration,
         number: Option<ExchangeNumber>,
         cx: &mut Context,
     ) {
         let Some(target) = number.and_then(|n| self.config.exchanges.get(&n).copied()) else {
-            return cx.engine.attempt_ended(cx.now, attempt, End::NotSent, cx.deadlines);
+            return cx.engine.attempt_ended(cx.now, attempt, EndReason::NotSent, cx.timers);
         };
         let (via, branch) = self.via(target.protocol);
         let (tag, call_id, own) = (self.unique(), self.unique(), self.own(target.protocol));
         let contact = self.contact(target.protocol);
-        let uri = format!("sip:{}@{}", offer.key, target.addr);
+        let uri = format!("sip:{}@{}", info.key, target.addr);
         let dialog = Dialog {
             call_id: format!("{call_id}@{own}"),
             local: format!("<sip:{own}>;tag={tag}"),
@@ -99,13 +97,13 @@
             ("Contact", &contact),
             ("Allow", ALLOW),
             ("Expires", &seconds),
-            ("X-Class", &offer.class),
+            ("X-Class", &info.class),
         ];
-        let bytes = message::request("INVITE", &uri, &headers, &offer.description);
+        let bytes = message::request("INVITE", &uri, &headers, &info.description);
         let sent = Rc::new(dialog.sent(&uri, &via));
         let to = (target, Some(Rc::clone(&sent)));
         let tx = self.transactions.request(cx.now, "INVITE", &branch, bytes, to, &mut self.output);
-        cx.engine.forwarded(1);
+        cx.engine.count_forwards(1);
         let key = (dialog.call_id.clone(), tag);
         let leg = self.legs.insert(Leg {
             party: Party::Exchange(attempt),
@@ -171,7 +169,7 @@
             l.again = Rc::from(bytes.as_slice());
             l.state = State::Answered;
             l.since = cx.now;
-            cx.deadlines.set(cx.now + l.interval, Due::Sip(SipDue::AnswerAgain(leg)));
+            cx.timers.schedule(cx.now + l.interval, TimerEvent::Sip(SipDue::AnswerAgain(leg)));
             self.transactions.respond(cx.now, l.invite, 200, bytes, &mut self.output);
         }
     }
@@ -187,12 +185,12 @@
             self.say_bye(leg, cx);
             if let Party::Caller(call) = party {
                 cx.log.line(cx.now, "sip-no-ack", "an answered call was never acknowledged");
-                cx.engine.caller_ends(cx.now, call, cx.deadlines);
+                cx.engine.caller_ended(cx.now, call, cx.timers);
             }
             return;
         }
         l.interval = (l.interval * 2).min(times.t2);
-        cx.deadlines.set(cx.now + l.interval, Due::Sip(SipDue::AnswerAgain(leg)));
+        cx.timers.schedule(cx.now + l.interval, TimerEvent::Sip(SipDue::AnswerAgain(leg)));
         let (target, bytes) = (l.dialog.target, Rc::clone(&l.again));
         let _ = self.transport.send(target, &bytes, cx);
     }
@@ -224,7 +222,7 @@
             l.state = State::Over;
             l.since = cx.now;
             let until = cx.now + self.config.times.transaction() + self.config.times.t4;
-            cx.deadlines.set(until, Due::Sip(SipDue::Forget(leg)));
+            cx.timers.schedule(until, TimerEvent::Sip(SipDue::Forget(leg)));
         }
     }
 
--- a/node/src/net/sip/incoming.rs
+++ b/node/src/net/sip/incoming.rs
@@ -4,11 +4,11 @@
 use super::message::{self, Message};
 use super::transaction::{Taken, Target};
 use super::{Leg, Party, Sip, State, ALLOW};
+use crate::arena::Token;
 use crate::config::{SipConfig, SipNumber};
-use crate::end::End;
-use crate::engine::{Incoming, Offer};
+use crate::end::EndReason;
+use crate::engine::{CallInfo, IncomingCall};
 use crate::net::Context;
-use crate::slots::Token;
 use ezk_sip_types::header::typed::{Expires, RetryAfter};
 use ezk_sip_types::{Headers, Method, Name};
 use slateshed::{DialledNumber, Origin};
@@ -50,7 +50,7 @@
                 } else if method == Method::INVITE {
                     // The description of a standing call is not changed.
                     respond(self, if leg.is_some() { 488 } else { 481 }, &[]);
-                } else if method == Method::OPTIONS && !cx.duty.is_ready() {
+                } else if method == Method::OPTIONS && !cx.lifecycle.is_ready() {
                     // Who asks in turn sends its calls elsewhere; those that come all the same are taken.
                     respond(self, 503, &[]);
                 } else if method == Method::OPTIONS {
@@ -95,7 +95,7 @@
             return self.respond(tx, &m.headers, 404, &[], cx.now);
         };
         let (Some(class), Some(text)) =
-            (cx.words.classes.iter().position(|c| *c == plan.class), m.text())
+            (cx.wire.classes.iter().position(|c| *c == plan.class), m.text())
         else {
             return self.respond(tx, &m.headers, 415, &[("Accept", "application/sdp")], cx.now);
         };
@@ -103,16 +103,16 @@
         let trying = message::response(&m.headers, 100, &tag, &[], "");
         self.transactions.respond(cx.now, tx, 100, trying, &mut self.output);
         let expires = m.headers.get_named::<Expires>().ok().map(|e| Duration::from_secs(e.0.into()));
-        let deadline = cx.words.deadlines[class];
-        let new = Incoming {
+        let deadline = cx.wire.deadlines[class];
+        let new = IncomingCall {
             class,
             dialled: dialled(&called),
             patience: expires.map_or(deadline, |e| e.min(deadline)),
             destination: plan.exchange,
             circuits: plan.circuits,
-            advice: None,
+            route_hint: None,
             origin: Origin::Subscriber,
-            offer: Rc::new(Offer {
+            info: Rc::new(CallInfo {
                 id: self.unique(),
                 class: plan.class.clone(),
                 key: called,
@@ -121,7 +121,7 @@
         };
         let dialog = Dialog::called(m, &tag, source);
         let key = (dialog.call_id.clone(), tag);
-        let call = cx.engine.call(cx.now, new, cx.deadlines);
+        let call = cx.engine.new_call(cx.now, new, cx.timers);
         let leg = self.legs.insert(Leg {
             party: Party::Caller(call),
             state: State::Ringing,
@@ -152,7 +152,7 @@
             leg.and_then(|leg| Some((leg, self.legs.get(leg)?.party)))
         {
             self.final_answer(leg, 487, &[], "", cx);
-            cx.engine.caller_ends(cx.now, call, cx.deadlines);
+            cx.engine.caller_ended(cx.now, call, cx.timers);
         }
     }
 
@@ -172,9 +172,9 @@
         }
         self.over(leg, cx);
         match party {
-            Party::Caller(call) => cx.engine.caller_ends(cx.now, call, cx.deadlines),
+            Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
             Party::Exchange(attempt) => {
-                cx.engine.attempt_ended(cx.now, attempt, End::Ended, cx.deadlines)
+                cx.engine.attempt_ended(cx.now, attempt, EndReason::Ended, cx.timers)
             }
         }
     }
@@ -212,7 +212,7 @@
         let Party::Exchange(attempt) = l.party else {
             return;
         };
-        cx.engine.heard_at(cx.now, attempt);
+        cx.engine.record_attempt_activity(cx.now, attempt);
         match (status, l.state) {
             (100..=199, State::Over) => self.send_cancel(leg, cx.now),
             (100..=199, _) => {}
@@ -225,9 +225,14 @@
                 let Some(description) = m.text().map(str::to_owned) else {
                     cx.log.line(cx.now, "sip-malformed", "an answer whose body is no text");
                     self.say_bye(leg, cx);
-                    return cx.engine.attempt_ended(cx.now, attempt, End::Garbage, cx.deadlines);
+                    return cx.engine.attempt_ended(
+                        cx.now,
+                        attempt,
+                        EndReason::MalformedMessage,
+                        cx.timers,
+                    );
                 };
-                if !cx.engine.answered(cx.now, attempt, None, description, cx.deadlines) {
+                if !cx.engine.answered(cx.now, attempt, None, description, cx.timers) {
                     self.say_bye(leg, cx);
                 }
             }
@@ -247,7 +252,7 @@
             }
             (_, State::Ringing) => {
                 self.over(leg, cx);
-                cx.engine.attempt_ended(cx.now, attempt, end_of(status, &m), cx.deadlines);
+                cx.engine.attempt_ended(cx.now, attempt, end_of(status, &m), cx.timers);
             }
             _ => {}
         }
@@ -290,17 +295,17 @@
 }
 
 /// How a refusal by an exchange ends the attempt.
-fn end_of(status: u16, m: &Message) -> End {
+fn end_of(status: u16, m: &Message) -> EndReason {
     match status {
-        408 | 504 => End::TimedOut,
-        480 => End::NoCircuit,
-        486 | 600 => End::NumberBusy,
-        487 => End::GivenUp,
+        408 | 504 => EndReason::TimedOut,
+        480 => EndReason::NoCircuit,
+        486 | 600 => EndReason::NumberBusy,
+        487 => EndReason::Cancelled,
         503 => {
             let told = m.headers.get_named::<RetryAfter>().ok();
-            End::ProcessorFull(told.map(|r| Duration::from_secs(r.value.into()).min(MOST_TOLD)))
+            EndReason::ProcessorFull(told.map(|r| Duration::from_secs(r.value.into()).min(MOST_TOLD)))
         }
-        _ => End::Fault,
+        _ => EndReason::Fault,
     }
 }
 
@@ -325,10 +330,10 @@
             let bytes = format!("SIP/2.0 503 Service Unavailable\r\n{head}{retry_after}\r\n");
             end_of(503, &message::parse(bytes.as_bytes()).expect("well formed"))
         };
-        let full = |seconds| End::ProcessorFull(Some(Duration::from_secs(seconds)));
-        assert_eq!(refusal(""), End::ProcessorFull(None));
+        let full = |seconds| EndReason::ProcessorFull(Some(Duration::from_secs(seconds)));
+        assert_eq!(refusal(""), EndReason::ProcessorFull(None));
         assert_eq!(refusal("Retry-After: 3 (busy);duration=9\r\n"), full(3));
         assert_eq!(refusal("Retry-After: 4000000000\r\n"), full(32));
-        assert_eq!(refusal("Retry-After: soon\r\n"), End::ProcessorFull(None));
+        assert_eq!(refusal("Retry-After: soon\r\n"), EndReason::ProcessorFull(None));
     }
 }
--- a/node/src/net/sip/message.rs
+++ b/node/src/net/sip/message.rs
@@ -11,7 +11,7 @@
 use std::fmt::Write;
 
 /// Most bytes of a message, over either transport.
-pub const LIMIT: usize = 65_535;
+pub const MAX_MESSAGE: usize = 65_535;
 
 /// A message that was received, with the headers that every message has.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 pub fn length(input: &[u8]) -> Result<Option<usize>, String> {
     let ends = |end: &[u8]| input.windows(end.len()).position(|w| w == end).map(|at| at + end.len());
     let Some(head) = [ends(b"\r\n\r\n"), ends(b"\n\n")].into_iter().flatten().min() else {
-        return if input.len() > LIMIT { Err("head too long".into()) } else { Ok(None) };
+        return if input.len() > MAX_MESSAGE { Err("head too long".into()) } else { Ok(None) };
     };
     let head_text = std::str::from_utf8(&input[..head]).map_err(|_| "head is not UTF-8")?;
     let fields = head_text.lines().filter_map(|l| l.split_once(':'));
@@ -60,7 +60,7 @@
         None => 0,
     };
     match head.checked_add(body) {
-        Some(whole) if whole <= LIMIT => Ok((input.len() >= whole).then_some(whole)),
+        Some(whole) if whole <= MAX_MESSAGE => Ok((input.len() >= whole).then_some(whole)),
         _ => Err("message too long".into()),
     }
 }
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -9,11 +9,11 @@
 pub mod transaction;
 pub mod transport;
 
-use super::{Context, Due};
+use super::{Context, TimerEvent};
+use crate::arena::{Arena, Token};
 use crate::config::{Limits, SipConfig};
-use crate::end::End;
+use crate::end::EndReason;
 use crate::engine::{AttemptToken, CallToken};
-use crate::slots::{Slots, Token};
 use dialog::Dialog;
 use ezk_sip_types::Headers;
 use message::Malformed;
@@ -86,7 +86,7 @@
     config: SipConfig,
     transport: Transport,
     transactions: Transactions,
-    legs: Slots<Leg>,
+    legs: Arena<Leg>,
     /// Legs beyond which no call is taken; one that is over is kept for a while.
     most_legs: usize,
     by_call: HashMap<CallToken, Token>,
@@ -117,7 +117,7 @@
             most_legs: limits.transactions(),
             config,
             transport,
-            legs: Slots::default(),
+            legs: Arena::default(),
             by_call: HashMap::new(),
             by_attempt: HashMap::new(),
             by_dialog: HashMap::new(),
@@ -164,9 +164,9 @@
         for (leg, party) in legs {
             self.say_bye(leg, cx);
             match party {
-                Party::Caller(call) => cx.engine.caller_ends(cx.now, call, cx.deadlines),
+                Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
                 Party::Exchange(attempt) => {
-                    cx.engine.attempt_ended(cx.now, attempt, End::Cut, cx.deadlines)
+                    cx.engine.attempt_ended(cx.now, attempt, EndReason::Dropped, cx.timers)
                 }
             }
         }
@@ -259,11 +259,11 @@
     }
 
     /// A stream that ends takes the set-ups on it with it; dialogs belong to no connection.
-    fn stream_ended(&mut self, token: Token, end: End, cx: &mut Context) {
+    fn stream_ended(&mut self, token: Token, end: EndReason, cx: &mut Context) {
         let Some(peer) = self.transport.peer(token) else {
             return;
         };
-        if end != End::Closed {
+        if end != EndReason::PeerClosed {
             cx.log.line(cx.now, "sip-stream-ended", format_args!("{peer}: {end}"));
         }
         self.transport.close(token, cx);
@@ -273,8 +273,8 @@
         for (leg, party) in ended {
             self.over(leg, cx);
             match party {
-                Party::Caller(call) => cx.engine.caller_ends(cx.now, call, cx.deadlines),
-                Party::Exchange(attempt) => cx.engine.attempt_ended(cx.now, attempt, end, cx.deadlines),
+                Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
+                Party::Exchange(attempt) => cx.engine.attempt_ended(cx.now, attempt, end, cx.timers),
             }
         }
     }
@@ -300,7 +300,7 @@
             Err(Malformed::Other(why)) => {
                 cx.log.line(cx.now, "sip-garbage", format_args!("{}: {why}", source.addr));
                 if let Some(token) = source.conn {
-                    self.stream_ended(token, End::Garbage, cx);
+                    self.stream_ended(token, EndReason::MalformedMessage, cx);
                 }
             }
         }
@@ -313,7 +313,7 @@
             for output in std::mem::take(&mut self.output) {
                 match output {
                     Output::Wake(at, token, timer) => {
-                        cx.deadlines.set(at, Due::Sip(SipDue::Timer(token, timer)));
+                        cx.timers.schedule(at, TimerEvent::Sip(SipDue::Timer(token, timer)));
                     }
                     Output::Send(token, target, bytes) => {
                         match self.transport.send(target, &bytes, cx) {
@@ -333,7 +333,7 @@
     }
 
     /// A transaction ended without its response.
-    fn failed(&mut self, token: Token, end: End, cx: &mut Context) {
+    fn failed(&mut self, token: Token, end: EndReason, cx: &mut Context) {
         self.transactions.terminate(token);
         self.by_options.remove(&token);
         let Some(leg) = self.by_invite.get(&token).copied() else {
@@ -342,11 +342,11 @@
         match self.legs.get(leg).map(|l| (l.party, l.state)) {
             Some((Party::Exchange(attempt), State::Ringing)) => {
                 self.over(leg, cx);
-                cx.engine.attempt_ended(cx.now, attempt, end, cx.deadlines);
+                cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
             }
             Some((Party::Caller(call), State::Ringing | State::Answered)) => {
                 self.over(leg, cx);
-                cx.engine.caller_ends(cx.now, call, cx.deadlines);
+                cx.engine.caller_ended(cx.now, call, cx.timers);
             }
             Some(_) => self.over(leg, cx),
             None => {}
@@ -358,7 +358,7 @@
         match due {
             SipDue::Timer(token, timer) => {
                 if self.transactions.due(cx.now, token, timer, &mut self.output) {
-                    self.failed(token, End::TimedOut, cx);
+                    self.failed(token, EndReason::TimedOut, cx);
                 }
             }
             SipDue::AnswerAgain(leg) => self.answer_again(leg, cx),
--- a/node/src/net/sip/transaction.rs
+++ b/node/src/net/sip/transaction.rs
@@ -2,7 +2,7 @@
 //! is absorbed, and when a transaction is over. No sockets here; all output is in [`Output`].
 
 use super::message::{self, Message};
-use crate::slots::{Slots, Token};
+use crate::arena::{Arena, Token};
 use ezk_sip_types::{Method, Name};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -193,14 +193,14 @@
     times: Times,
     /// Most transactions; requests of others beyond it are not taken. Over UDP each is kept for 64 times T1.
     most: usize,
-    table: Slots<Transaction>,
+    table: Arena<Transaction>,
     keys: HashMap<Key, Token>,
 }
 
 impl Transactions {
     /// No transactions yet.
     pub fn new(times: Times, most: usize) -> Self {
-        Transactions { times, most, table: Slots::default(), keys: HashMap::new() }
+        Transactions { times, most, table: Arena::default(), keys: HashMap::new() }
     }
 
     fn add(&mut self, transaction: Transaction) -> Token {
--- a/node/src/net/sip/transport.rs
+++ b/node/src/net/sip/transport.rs
@@ -2,11 +2,11 @@
 
 use super::message;
 use super::transaction::{Protocol, Target};
+use crate::arena::{Arena, Token};
 use crate::config::Limits;
-use crate::end::End;
+use crate::end::EndReason;
 use crate::net::conn::Conn;
-use crate::net::{Context, Due, Kind, ACCEPTS, SAY_WITHIN};
-use crate::slots::{Slots, Token};
+use crate::net::{Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::Interest;
 use std::io::{self, ErrorKind};
@@ -34,11 +34,11 @@
 pub struct Transport {
     udp: Option<UdpSocket>,
     tcp: Option<TcpListener>,
-    streams: Slots<Stream>,
+    streams: Arena<Stream>,
     limits: Limits,
     buffer: Vec<u8>,
     /// Streams that broke while something was sent.
-    doomed: Vec<(Token, End)>,
+    doomed: Vec<(Token, EndReason)>,
     /// Streams that had more to read than one turn allows.
     unread: Vec<Token>,
     /// More may wait to be accepted than one turn allows.
@@ -57,13 +57,13 @@
         let mut udp = udp.map(UdpSocket::bind).transpose()?;
         let mut tcp = tcp.map(TcpListener::bind).transpose()?;
         if let Some(socket) = &mut udp {
-            registry.register(socket, Kind::SipDatagrams.token(none), Interest::READABLE)?;
+            registry.register(socket, SourceKind::SipDatagrams.token(none), Interest::READABLE)?;
         }
         if let Some(listener) = &mut tcp {
-            registry.register(listener, Kind::SipListener.token(none), Interest::READABLE)?;
+            registry.register(listener, SourceKind::SipListener.token(none), Interest::READABLE)?;
         }
-        let (streams, doomed, unread) = (Slots::default(), Vec::new(), Vec::new());
-        let buffer = vec![0; message::LIMIT + 1];
+        let (streams, doomed, unread) = (Arena::default(), Vec::new(), Vec::new());
+        let buffer = vec![0; message::MAX_MESSAGE + 1];
         let unaccepted = false;
         Ok(Transport { udp, tcp, streams, limits, buffer, doomed, unread, unaccepted })
     }
@@ -93,7 +93,7 @@
 
     /// Accepts the streams that wait, as far as the turn allows.
     pub fn accept(&mut self, cx: &mut Context) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..ACCEPT_BATCH {
             let Some(listener) = &self.tcp else {
                 return;
             };
@@ -104,7 +104,7 @@
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     cx.log.line(cx.now, "sip-accept-failed", e);
-                    cx.deadlines.set(cx.now + ACCEPT_AGAIN, Due::SipAccept);
+                    cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::SipAccept);
                     return;
                 }
             }
@@ -121,7 +121,7 @@
     }
 
     fn add(&mut self, mut s: TcpStream, peer: SocketAddr, up: bool, cx: &mut Context) -> Option<Token> {
-        let (now, registry, bounds) = (cx.now, cx.registry, self.limits.sip_bounds());
+        let (now, registry, bounds) = (cx.now, cx.registry, self.limits.sip_buffer_limits());
         if self.streams.len() >= self.limits.sip_streams() {
             self.make_way(cx);
         }
@@ -132,7 +132,7 @@
         let mut registered = Ok(());
         let token = self.streams.insert_with(|token| {
             let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut s, Kind::SipStream.token(token), both);
+            registered = registry.register(&mut s, SourceKind::SipStream.token(token), both);
             let awaited = up.then_some(now);
             Stream { conn: Conn::new(s, bounds, up), peer, last_heard: now, spoke: !up, awaited }
         });
@@ -140,27 +140,27 @@
             self.streams.remove(token);
             return None;
         }
-        let due = if up { SAY_WITHIN } else { cx.dial_timeout };
-        cx.deadlines.set(now + due, Due::SipStream(token));
+        let due = if up { MESSAGE_TIMEOUT } else { cx.dial_timeout };
+        cx.timers.schedule(now + due, TimerEvent::SipStream(token));
         Some(token)
     }
 
     /// A stream should be up, or have been heard, by now.
-    pub fn stream_due(&mut self, token: Token, cx: &mut Context) -> Option<End> {
+    pub fn stream_due(&mut self, token: Token, cx: &mut Context) -> Option<EndReason> {
         let stream = self.streams.get(token)?;
-        if !stream.conn.is_up() {
-            return Some(End::DialTimedOut);
+        if !stream.conn.is_connected() {
+            return Some(EndReason::DialTimedOut);
         }
-        let due = stream.awaited.map_or(stream.last_heard + IDLE, |since| since + SAY_WITHIN);
+        let due = stream.awaited.map_or(stream.last_heard + IDLE, |since| since + MESSAGE_TIMEOUT);
         if cx.now >= due {
-            return Some(End::Silent);
+            return Some(EndReason::PeerSilent);
         }
-        cx.deadlines.set(due, Due::SipStream(token));
+        cx.timers.schedule(due, TimerEvent::SipStream(token));
         None
     }
 
     /// Reads a stream; the whole messages that have come, and how it ended if it has.
-    pub fn read(&mut self, token: Token, cx: &mut Context) -> (Vec<Vec<u8>>, Option<End>) {
+    pub fn read(&mut self, token: Token, cx: &mut Context) -> (Vec<Vec<u8>>, Option<EndReason>) {
         let now = cx.now;
         let mut messages = Vec::new();
         let Some(stream) = self.streams.get_mut(token) else {
@@ -173,7 +173,7 @@
                 self.unread.push(token);
                 break None;
             }
-            match stream.conn.check_up() {
+            match stream.conn.check_connected() {
                 Ok(true) => {}
                 Ok(false) => break None,
                 Err(end) => break Some(end),
@@ -190,7 +190,7 @@
                         (stream.spoke, stream.awaited) = (true, None);
                     }
                     Ok(None) => break,
-                    Err(_) => return (messages, Some(End::Garbage)),
+                    Err(_) => return (messages, Some(EndReason::MalformedMessage)),
                 }
             }
             match read {
@@ -200,9 +200,9 @@
             }
         };
         // A message that has begun is to get whole.
-        if stream.spoke && stream.awaited.is_none() && stream.conn.has_part() {
+        if stream.spoke && stream.awaited.is_none() && stream.conn.has_partial_line() {
             stream.awaited = Some(now);
-            cx.deadlines.set(now + SAY_WITHIN, Due::SipStream(token));
+            cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::SipStream(token));
         }
         (messages, end)
     }
@@ -236,16 +236,16 @@
         target: Target,
         bytes: &[u8],
         cx: &mut Context,
-    ) -> Result<Option<Token>, End> {
+    ) -> Result<Option<Token>, EndReason> {
         if target.protocol == Protocol::Udp {
             // A datagram that can't go now is one lost: the transaction sends again.
-            let socket = self.udp.as_ref().ok_or(End::NoSocket)?;
+            let socket = self.udp.as_ref().ok_or(EndReason::NoSocket)?;
             return match socket.send_to(bytes, target.addr) {
                 Ok(_) => Ok(None),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::ConnectionRefused) => {
                     Ok(None)
                 }
-                Err(_) => Err(End::NoSocket),
+                Err(_) => Err(EndReason::NoSocket),
             };
         }
         let known = target.conn.filter(|t| self.streams.get(*t).is_some());
@@ -253,12 +253,12 @@
         let token = match known.or_else(same) {
             Some(token) => token,
             None => {
-                let stream =
-                    TcpStream::connect(target.addr).map_err(|e| crate::net::conn::dial_end(e.kind()))?;
-                self.add(stream, target.addr, false, cx).ok_or(End::NoSocket)?
+                let stream = TcpStream::connect(target.addr)
+                    .map_err(|e| crate::net::conn::dial_end_reason(e.kind()))?;
+                self.add(stream, target.addr, false, cx).ok_or(EndReason::NoSocket)?
             }
         };
-        let stream = self.streams.get_mut(token).ok_or(End::NoSocket)?;
+        let stream = self.streams.get_mut(token).ok_or(EndReason::NoSocket)?;
         if let Err(end) = stream.conn.send(bytes) {
             self.doomed.push((token, end));
         }
@@ -266,7 +266,7 @@
     }
 
     /// Streams that broke while something was sent.
-    pub fn broken(&mut self) -> Vec<(Token, End)> {
+    pub fn broken(&mut self) -> Vec<(Token, EndReason)> {
         std::mem::take(&mut self.doomed)
     }
 
@@ -279,6 +279,6 @@
 
     /// Whether all that was sent has been written.
     pub fn is_flushed(&self) -> bool {
-        self.streams.iter().all(|(_, s)| !s.conn.is_up() || s.conn.is_flushed())
+        self.streams.iter().all(|(_, s)| !s.conn.is_connected() || s.conn.is_flushed())
     }
 }
--- a/node/src/figures.rs
+++ b/node/src/stats.rs
@@ -1,6 +1,6 @@
-//! The figures that operators ask for, as JSON on one line.
+//! The statistics for operators, as JSON on one line.
 
-use crate::engine::Figures;
+use crate::engine::Stats;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use tinyjson::JsonValue;
@@ -14,10 +14,10 @@
     pub rejected: u64,
 }
 
-/// Writes the figures, classes by name.
-pub fn json(figures: &Figures, reloads: Reloads, classes: &[String]) -> String {
+/// Writes the statistics, with classes by name.
+pub fn json(stats: &Stats, reloads: Reloads, classes: &[String]) -> String {
     let mut out = String::from("{\"results\":{");
-    for (i, (class, r)) in classes.iter().zip(&figures.results).enumerate() {
+    for (i, (class, r)) in classes.iter().zip(&stats.results).enumerate() {
         let comma = if i == 0 { "" } else { "," };
         // Only numbers can fail to be written as JSON, and writing to a string does not fail.
         let class = JsonValue::String(class.clone()).stringify().unwrap_or_default();
@@ -29,22 +29,22 @@
     }
     out.push('}');
     let counts = [
-        ("forwards", figures.forwards),
-        ("outstanding", figures.outstanding as u64),
-        ("discovered", figures.discovered as u64),
-        ("ejected", figures.ejected as u64),
+        ("forwards", stats.forwards),
+        ("outstanding", stats.outstanding as u64),
+        ("discovered", stats.discovered as u64),
+        ("ejected", stats.ejected as u64),
         ("sighup_applied", reloads.applied),
         ("sighup_rejected", reloads.rejected),
-        ("standing", figures.standing as u64),
-        ("retries", figures.retries),
-        ("checks", figures.checks),
-        ("adverse_observations", figures.adverse_observations),
+        ("standing", stats.established as u64),
+        ("retries", stats.retries),
+        ("checks", stats.checks),
+        ("adverse_observations", stats.adverse_observations),
     ];
     for (name, count) in counts {
         let _ = write!(out, ",\"{name}\":{count}");
     }
-    write_by_reason(&mut out, "releases", &figures.releases);
-    write_by_reason(&mut out, "attempt_ends", &figures.attempt_ends);
+    write_by_reason(&mut out, "releases", &stats.releases);
+    write_by_reason(&mut out, "attempt_ends", &stats.attempt_ends);
     out.push('}');
     out
 }
@@ -62,19 +62,19 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::engine::Results;
+    use crate::engine::ResultCounts;
 
     /// Guards against figures under other names than those that are read, and against names that break the line.
     #[test]
     fn figures_are_one_line_of_json() {
-        let results = vec![Results { succeeded: 8, declined: 2, aborted: 1 }; 2];
-        let figures = Figures {
+        let results = vec![ResultCounts { succeeded: 8, declined: 2, aborted: 1 }; 2];
+        let stats = Stats {
             results,
             forwards: 14,
             outstanding: 3,
             discovered: 5,
             ejected: 1,
-            standing: 2,
+            established: 2,
             releases: BTreeMap::from([("cut", 1), ("ended", 5)]),
             attempt_ends: BTreeMap::from([("timed out", 4)]),
             retries: 3,
@@ -82,7 +82,7 @@
             adverse_observations: 2,
         };
         let classes = ["voice".to_owned(), "a \"b\"\n".to_owned()];
-        let line = json(&figures, Reloads { applied: 2, rejected: 1 }, &classes);
+        let line = json(&stats, Reloads { applied: 2, rejected: 1 }, &classes);
         insta::assert_snapshot!(line, @r#"{"results":{"voice":{"succeeded":8,"declined":2,"aborted":1},"a \"b\"\n":{"succeeded":8,"declined":2,"aborted":1}},"forwards":14,"outstanding":3,"discovered":5,"ejected":1,"sighup_applied":2,"sighup_rejected":1,"standing":2,"retries":3,"checks":6,"adverse_observations":2,"releases":{"cut":1,"ended":5},"attempt_ends":{"timed out":4}}"#);
     }
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 use mio::Poll;
 use slateshed::{DialledNumber, ExchangeNumber, Origin};
-use slateshed_node::config::{Config, Limits, Words};
-use slateshed_node::deadlines::Deadlines;
-use slateshed_node::engine::{Engine, Incoming, Offer};
+use slateshed_node::config::{Config, Limits, WireConfig};
+use slateshed_node::engine::{CallInfo, Engine, IncomingCall};
 use slateshed_node::log::Log;
-use slateshed_node::net::duty::Duty;
-use slateshed_node::net::{Context, Due};
+use slateshed_node::net::lifecycle::Lifecycle;
+use slateshed_node::net::{Context, TimerEvent};
+use slateshed_node::timers::TimerQueue;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::fd::OwnedFd;
@@ -56,17 +56,17 @@
 }
 
 /// A call to exchange 1, as a front hands it over.
-pub fn incoming(patience: Duration) -> Incoming {
+pub fn incoming(patience: Duration) -> IncomingCall {
     let word = |w: &str| w.to_owned();
     let (id, class, key, description) = (word("id"), word("voice"), word("7"), word("v=0"));
-    Incoming {
-        offer: Rc::new(Offer { id, class, key, description }),
+    IncomingCall {
+        info: Rc::new(CallInfo { id, class, key, description }),
         class: 0,
         dialled: DialledNumber(7),
         patience,
         destination: ExchangeNumber(1),
         circuits: 1,
-        advice: None,
+        route_hint: None,
         origin: Origin::Subscriber,
     }
 }
@@ -76,9 +76,9 @@
     pub poll: Poll,
     pub engine: Engine,
     pub limits: Limits,
-    deadlines: Deadlines<Due>,
+    timers: TimerQueue<TimerEvent>,
     log: Log,
-    words: Words,
+    wire: WireConfig,
 }
 
 impl Parts {
@@ -89,9 +89,9 @@
             poll: Poll::new().expect("a poll"),
             engine: Engine::new(config.settings, 7).expect("settings make sense"),
             limits: config.limits,
-            deadlines: Deadlines::default(),
+            timers: TimerQueue::default(),
             log: Log::new("n0"),
-            words: config.words,
+            wire: config.wire,
         }
     }
 
@@ -99,12 +99,12 @@
         Context {
             now: Duration::from_secs(1000),
             engine: &mut self.engine,
-            deadlines: &mut self.deadlines,
+            timers: &mut self.timers,
             log: &mut self.log,
-            words: &self.words,
+            wire: &self.wire,
             registry: self.poll.registry(),
             dial_timeout: Duration::from_millis(500),
-            duty: Duty::new(Duration::ZERO),
+            lifecycle: Lifecycle::new(Duration::ZERO),
         }
     }
 }
--- a/node/tests/engine.rs
+++ b/node/tests/engine.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use slateshed::*;
-use slateshed_node::deadlines::Deadlines;
-use slateshed_node::end::End;
+use slateshed_node::end::EndReason;
 use slateshed_node::engine::*;
-use slateshed_node::liveness::{Adverse, Incarnation};
+use slateshed_node::liveness::{FailureSign, Incarnation};
+use slateshed_node::timers::TimerQueue;
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
@@ -16,30 +16,30 @@
 struct World {
     engine: Engine,
     now: Duration,
-    deadlines: Deadlines<Wake>,
+    timers: TimerQueue<EngineTimer>,
 }
 
 impl World {
     /// Three exchanges in service, the own one is 0.
     fn new() -> Self {
-        let settings = slateshed_settings::json(common::SETTINGS, 16).expect("JSON");
-        let settings = slateshed_settings::settings(&settings).expect("settings");
+        let settings = slateshed_settings::parse_json(common::SETTINGS, 16).expect("JSON");
+        let settings = slateshed_settings::parse_settings(&settings).expect("settings");
         let engine = Engine::new(settings, 7).expect("settings make sense");
-        let mut world = World { engine, now: ms(1_000_000), deadlines: Deadlines::default() };
+        let mut world = World { engine, now: ms(1_000_000), timers: TimerQueue::default() };
         world.list(&[(0, Phase::InService), (1, Phase::InService), (2, Phase::InService)], true, ms(0));
         world
     }
 
-    fn list(&mut self, lines: &[(u32, Phase)], whole: bool, started: Duration) {
-        let line = |(n, phase): &(u32, Phase)| Listed {
+    fn list(&mut self, lines: &[(u32, Phase)], whole: bool, started_at: Duration) {
+        let line = |(n, phase): &(u32, Phase)| NamedEntry {
             name: format!("s-{n}"),
             number: ExchangeNumber(*n),
             zone: 0,
             phase: *phase,
-            started,
+            started_at,
         };
         let lines: Vec<_> = lines.iter().map(line).collect();
-        self.engine.list(self.now, whole, &lines, &mut self.deadlines);
+        self.engine.update_list(self.now, whole, &lines, &mut self.timers);
     }
 
     fn exchange(&self, n: u32) -> ExchangeId {
@@ -48,16 +48,16 @@
 
     fn call(&mut self, patience: u64) -> CallToken {
         let new = common::incoming(ms(patience));
-        self.engine.call(self.now, new, &mut self.deadlines)
+        self.engine.new_call(self.now, new, &mut self.timers)
     }
 
     /// Lets time pass, deadline by deadline.
     fn pass(&mut self, time: u64) {
         let until = self.now + ms(time);
-        while let Some(at) = self.deadlines.next().filter(|at| *at <= until) {
+        while let Some(at) = self.timers.next_due().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            while let Some(wake) = self.deadlines.pop(self.now) {
-                self.engine.wake(self.now, wake, &mut self.deadlines);
+            while let Some(wake) = self.timers.pop_due(self.now) {
+                self.engine.timer_due(self.now, wake, &mut self.timers);
             }
         }
         self.now = until;
@@ -75,11 +75,11 @@
     }
 
     fn answered(&mut self, attempt: AttemptToken) -> bool {
-        self.engine.answered(self.now, attempt, None, "d".to_owned(), &mut self.deadlines)
+        self.engine.answered(self.now, attempt, None, "d".to_owned(), &mut self.timers)
     }
 
-    fn ended(&mut self, attempt: AttemptToken, end: End) {
-        self.engine.attempt_ended(self.now, attempt, end, &mut self.deadlines);
+    fn ended(&mut self, attempt: AttemptToken, end: EndReason) {
+        self.engine.attempt_ended(self.now, attempt, end, &mut self.timers);
     }
 }
 
@@ -92,14 +92,14 @@
     world.pass(900);
     let said = world.commands();
     assert!(
-        matches!(said[..], [Command::GiveUp(a), Command::Refuse(c, Some(_))] if (a, c) == (attempt, call))
+        matches!(said[..], [Command::CancelAttempt(a), Command::Refuse(c, Some(_))] if (a, c) == (attempt, call))
     );
     assert!(!world.answered(attempt));
-    world.ended(attempt, End::Cut);
-    world.engine.caller_ends(world.now, call, &mut world.deadlines);
+    world.ended(attempt, EndReason::Dropped);
+    world.engine.caller_ended(world.now, call, &mut world.timers);
     world.pass(10_000);
     assert_eq!(world.commands(), []);
-    assert_eq!((world.engine.owed(), world.engine.standing()), (0, 0));
+    assert_eq!((world.engine.unanswered_calls(), world.engine.established_calls()), (0, 0));
 }
 
 #[test]
@@ -111,9 +111,9 @@
     assert!(!world.answered(attempt), "answered twice");
     world.pass(60_000);
     assert_eq!(world.commands(), [Command::Answer(call, "d".to_owned())]);
-    world.ended(attempt, End::Ended);
-    world.ended(attempt, End::Cut);
-    assert_eq!(world.commands(), [Command::ReleaseCaller(call, Cause::Normal)]);
+    world.ended(attempt, EndReason::Ended);
+    world.ended(attempt, EndReason::Dropped);
+    assert_eq!(world.commands(), [Command::ReleaseCaller(call, ReleaseCause::Normal)]);
 }
 
 /// Guards against two attempts out at once, and against a call sent again within 500 ms of a cut.
@@ -121,13 +121,13 @@
 fn after_a_cut_the_call_goes_again_alone_and_not_within_the_release_wait() {
     let mut world = World::new();
     let one = world.exchange(1);
-    world.engine.circuits(world.now, one, (0, 9), &mut world.deadlines);
+    world.engine.update_circuits(world.now, one, (0, 9), &mut world.timers);
     world.call(3000);
     let (attempt, tandem) = world.set_up();
     assert_ne!(tandem, one, "no circuit direct");
     world.pass(100);
-    world.ended(attempt, End::Cut);
-    world.engine.circuits(world.now, one, (9, 9), &mut world.deadlines);
+    world.ended(attempt, EndReason::Dropped);
+    world.engine.update_circuits(world.now, one, (9, 9), &mut world.timers);
     world.pass(499);
     assert_eq!(world.commands(), []);
     world.pass(60);
@@ -146,7 +146,8 @@
     world.pass(3000);
     assert!(matches!(world.commands()[..], [Command::Answer(..), Command::Refuse(c, _)] if c == other));
     world.list(&[(1, Phase::Gone)], false, ms(0));
-    let released = [Command::Forget(attempt), Command::ReleaseCaller(call, Cause::Cut)];
+    let released =
+        [Command::ForgetAttempt(attempt), Command::ReleaseCaller(call, ReleaseCause::Dropped)];
     assert_eq!(world.commands(), released);
 }
 
@@ -160,10 +161,10 @@
         assert!(world.answered(attempt));
         world.commands();
         match way {
-            0 => world.engine.refused(world.now, one, &mut world.deadlines),
+            0 => world.engine.connection_refused(world.now, one, &mut world.timers),
             1 => world.list(&[(1, Phase::InService)], false, world.now),
             _ => {
-                world.engine.adverse(world.now, one, Adverse::DialFailed);
+                world.engine.record_failure_sign(world.now, one, FailureSign::DialFailed);
                 world.pass(7000);
                 assert_eq!(world.commands(), [], "it may come back");
                 world.pass(500);
@@ -171,10 +172,14 @@
         }
         // A process that may live after all is told that the call is over.
         let there = match way {
-            0 | 1 => Command::Forget(attempt),
-            _ => Command::ReleaseExchange(attempt, Cause::Cut),
+            0 | 1 => Command::ForgetAttempt(attempt),
+            _ => Command::ReleaseExchange(attempt, ReleaseCause::Dropped),
         };
-        assert_eq!(world.commands(), [there, Command::ReleaseCaller(call, Cause::Cut)], "way {way}");
+        assert_eq!(
+            world.commands(),
+            [there, Command::ReleaseCaller(call, ReleaseCause::Dropped)],
+            "way {way}"
+        );
     }
 }
 
@@ -195,9 +200,9 @@
     world.pass(3000);
     world.commands();
     world.list(&[(1, Phase::InService)], false, started);
-    let released = [Command::Forget(old), Command::ReleaseCaller(before, Cause::Cut)];
+    let released = [Command::ForgetAttempt(old), Command::ReleaseCaller(before, ReleaseCause::Dropped)];
     assert_eq!(world.commands(), released);
-    assert!(world.engine.stands(new));
+    assert!(world.engine.is_answered(new));
 }
 
 /// Guards against answers that come after the process is killed at a planned stop.
@@ -207,10 +212,12 @@
     let one = world.exchange(1);
     let call = world.call(9000);
     world.set_up();
-    world.engine.stop(world.now + ms(700), &mut world.deadlines);
+    world.engine.stop(world.now + ms(700), &mut world.timers);
     world.pass(701);
-    assert!(matches!(world.commands()[..], [Command::GiveUp(_), Command::Refuse(c, _)] if c == call));
-    assert_eq!((world.engine.owed(), world.engine.name(one)), (0, "s-1"));
+    assert!(
+        matches!(world.commands()[..], [Command::CancelAttempt(_), Command::Refuse(c, _)] if c == call)
+    );
+    assert_eq!((world.engine.unanswered_calls(), world.engine.name(one)), (0, "s-1"));
 }
 
 /// Guards against a call that waits out its time for an answer that was lost: set-ups sent later have theirs. It
@@ -228,7 +235,7 @@
         assert!(world.answered(attempt));
         let said = world.commands();
         assert_eq!(said[0], Command::Answer(call, "d".to_owned()));
-        assert_eq!(said[1..].contains(&Command::GiveUp(late)), n == 4, "{said:?}");
+        assert_eq!(said[1..].contains(&Command::CancelAttempt(late)), n == 4, "{said:?}");
     }
     world.pass(490);
     assert_eq!(world.commands(), [], "within the wait for release");
@@ -248,19 +255,19 @@
         world.set_up()
     };
     world.list(&[(1, Phase::Gone)], false, ms(0));
-    world.engine.forget_gone();
-    assert_eq!(world.engine.known(), 3, "one is out there");
-    world.ended(attempt, End::Closed);
+    world.engine.remove_gone();
+    assert_eq!(world.engine.known_exchanges(), 3, "one is out there");
+    world.ended(attempt, EndReason::PeerClosed);
     for n in 10..200 {
         world.list(&[(n, Phase::InService)], false, ms(0));
         assert!(world.engine.exchange(&format!("s-{n}")).is_some());
         world.list(&[(n, Phase::Gone)], false, ms(0));
-        world.engine.forget_gone();
+        world.engine.remove_gone();
     }
-    assert_eq!(world.engine.known(), 2);
+    assert_eq!(world.engine.known_exchanges(), 2);
     world.list(&[(0, Phase::InService)], true, ms(0));
-    world.engine.forget_gone();
-    assert_eq!(world.engine.known(), 1, "a whole list names all there are");
+    world.engine.remove_gone();
+    assert_eq!(world.engine.known_exchanges(), 1, "a whole list names all there are");
 }
 
 /// Guards against calls that are cut at once although they may stand, since dials failed, set-ups had no answer or
@@ -269,12 +276,12 @@
 fn nothing_but_a_refused_connection_cuts_what_stands_at_once() {
     let first = Incarnation::default();
     let adverse = [
-        Adverse::DialFailed,
-        Adverse::Unanswered(9, first),
-        Adverse::Reset,
-        Adverse::AllReset(first),
-        Adverse::MissedReports(first),
-        Adverse::CheckFailed,
+        FailureSign::DialFailed,
+        FailureSign::Unanswered(9, first),
+        FailureSign::Reset,
+        FailureSign::AllReset(first),
+        FailureSign::MissedReports(first),
+        FailureSign::CheckFailed,
     ];
     for observation in adverse.map(Some).into_iter().chain([None]) {
         let mut world = World::new();
@@ -283,11 +290,11 @@
         assert!(world.answered(attempt));
         world.commands();
         match observation {
-            Some(observation) => world.engine.adverse(world.now, exchange, observation),
-            None => world.engine.refused(world.now, exchange, &mut world.deadlines),
+            Some(observation) => world.engine.record_failure_sign(world.now, exchange, observation),
+            None => world.engine.connection_refused(world.now, exchange, &mut world.timers),
         }
         world.pass(100);
-        let released = world.commands().contains(&Command::ReleaseCaller(call, Cause::Cut));
+        let released = world.commands().contains(&Command::ReleaseCaller(call, ReleaseCause::Dropped));
         assert_eq!(released, observation.is_none(), "{observation:?}");
     }
 }
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -34,16 +34,16 @@
     }
 
     fn list(&mut self, phase: Phase) {
-        let line = |n, phase| Listed {
+        let line = |n, phase| NamedEntry {
             name: format!("s-{n}"),
             number: ExchangeNumber(n),
             zone: 0,
             phase,
-            started: Duration::ZERO,
+            started_at: Duration::ZERO,
         };
         let (addr, lines) = (self.addr, [line(0, Phase::InService), line(1, phase)]);
         self.with(|exchanges, cx| {
-            cx.engine.list(cx.now, false, &lines, cx.deadlines);
+            cx.engine.update_list(cx.now, false, &lines, cx.timers);
             let id = cx.engine.exchange("s-1").expect("listed");
             exchanges.listed(id, addr, phase, cx);
         });
@@ -52,7 +52,7 @@
 
     fn call(&mut self) -> CallToken {
         let new = common::incoming(Duration::from_secs(3));
-        let call = self.with(|_, cx| cx.engine.call(cx.now, new, cx.deadlines));
+        let call = self.with(|_, cx| cx.engine.new_call(cx.now, new, cx.timers));
         self.carry_out();
         call
     }
@@ -91,7 +91,7 @@
 fn a_set_up_that_has_not_left_goes_nowhere_once_it_is_given_up() {
     let mut world = World::new();
     let call = world.call();
-    world.with(|_, cx| cx.engine.caller_ends(cx.now, call, cx.deadlines));
+    world.with(|_, cx| cx.engine.caller_ended(cx.now, call, cx.timers));
     world.carry_out();
     assert_eq!(world.heard(), "");
 }
--- a/node/tests/transactions.rs
+++ b/node/tests/transactions.rs
@@ -1,9 +1,9 @@
 //! The transactions by themselves, on a clock of the test: what is sent when, by the timers of RFC 3261.
 
 use ezk_sip_types::Method;
+use slateshed_node::arena::Token;
 use slateshed_node::net::sip::message::{self, Message};
 use slateshed_node::net::sip::transaction::*;
-use slateshed_node::slots::Token;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/plugin/src/directory.rs
+++ b/plugin/src/directory.rs
@@ -1,6 +1,6 @@
 //! The exchanges of the list, and which of them have lost what they were doing.
 
-use slateshed::{Entry, ExchangeId, Listed, Phase};
+use slateshed::{ExchangeId, ListEntry, NamedEntry, Phase};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 struct Known {
     name: String,
     phase: Phase,
-    started: Duration,
+    started_at: Duration,
 }
 
 /// Exchanges by name and by id. Ids are never used twice.
@@ -23,14 +23,14 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Update {
     /// The lines for the controller.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
     /// Exchanges that are gone or have started anew: whatever was out there is over.
     pub lost: Vec<ExchangeId>,
 }
 
 impl Directory {
     /// Takes in news of the list: all of it, or changed lines only.
-    pub fn update(&mut self, whole: bool, lines: &[Listed]) -> Update {
+    pub fn update(&mut self, whole: bool, lines: &[NamedEntry]) -> Update {
         let mut lost = Vec::new();
         if whole {
             for (id, known) in &mut self.known {
@@ -45,23 +45,23 @@
             let id = self.id_of(line);
             entries.push(line.entry(id));
             if let Some(known) = self.known.get_mut(&id) {
-                if line.phase == Phase::Gone || line.started > known.started {
+                if line.phase == Phase::Gone || line.started_at > known.started_at {
                     lost.push(id);
                 }
-                (known.phase, known.started) = (line.phase, line.started);
+                (known.phase, known.started_at) = (line.phase, line.started_at);
             }
         }
         Update { entries, lost }
     }
 
-    fn id_of(&mut self, line: &Listed) -> ExchangeId {
+    fn id_of(&mut self, line: &NamedEntry) -> ExchangeId {
         if let Some(id) = self.ids.get(&line.name) {
             return *id;
         }
         let id = ExchangeId(self.next);
         self.next = self.next.wrapping_add(1);
         self.ids.insert(line.name.clone(), id);
-        let known = Known { name: line.name.clone(), phase: line.phase, started: line.started };
+        let known = Known { name: line.name.clone(), phase: line.phase, started_at: line.started_at };
         self.known.insert(id, known);
         id
     }
@@ -95,9 +95,9 @@
 mod tests {
     use super::*;
 
-    fn line(name: &str, phase: Phase, started: u64) -> Listed {
-        let (number, started) = (slateshed::ExchangeNumber(1), Duration::from_millis(started));
-        Listed { name: name.to_owned(), number, zone: 0, phase, started }
+    fn line(name: &str, phase: Phase, started_at: u64) -> NamedEntry {
+        let (number, started_at) = (slateshed::ExchangeNumber(1), Duration::from_millis(started_at));
+        NamedEntry { name: name.to_owned(), number, zone: 0, phase, started_at }
     }
 
     /// Guards against a list that grows with every exchange that is replaced, and against ids that mean two exchanges.
--- a/plugin/src/lib.rs
+++ b/plugin/src/lib.rs
@@ -128,10 +128,10 @@
 
 impl Shared {
     /// News of the list. Requests that are out at a process that is gone wait for nothing.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listed]) {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[NamedEntry]) {
         let update = self.directory.update(whole, lines);
         let entries = update.entries;
-        let list = if whole { List::Whole(entries) } else { List::Change(entries) };
+        let list = if whole { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
         self.tell(now, Event::List(list));
         for mailbox in self.calls.values_mut() {
             if mailbox.out.is_some_and(|e| update.lost.contains(&e)) {
@@ -217,7 +217,7 @@
     }
 
     /// News of the list: all of it, or changed lines only.
-    pub fn list(&self, whole: bool, lines: &[Listed]) {
+    pub fn list(&self, whole: bool, lines: &[NamedEntry]) {
         self.lock().list(self.clock.now(), whole, lines);
     }
 
@@ -259,7 +259,7 @@
                 patience: call.patience,
                 destination: call.destination,
                 circuits: call.circuits,
-                advice: None,
+                route_hint: None,
                 origin: Origin::Subscriber,
             });
             shared.tell(handle.clock.now(), event);
@@ -321,7 +321,7 @@
     }
 
     /// The attempt that is out has ended.
-    fn over(&mut self, outcome: Outcome, settled: bool) {
+    fn over(&mut self, outcome: Outcome, call_ended: bool) {
         let now = self.handle.clock.now();
         if let Some((exchange, sent)) = self.out.take() {
             let (call, attempt) = (self.call, self.attempts - 1);
@@ -332,11 +332,14 @@
             }
             shared.occupy(now, exchange, -self.circuits);
             if outcome == Outcome::Ended {
-                shared.tell(now, Event::Stands { call, attempt, delay });
+                shared.tell(now, Event::Answered { call, attempt, delay });
             }
-            shared.tell(now, Event::AttemptOver(AttemptEnd { call, attempt, delay, outcome, settled }));
+            shared.tell(
+                now,
+                Event::AttemptEnded(AttemptEnd { call, attempt, delay, outcome, call_ended }),
+            );
         }
-        self.settled |= settled;
+        self.settled |= call_ended;
     }
 }
 
@@ -345,7 +348,7 @@
         // Dropped with its future: the caller is gone, and the attempt with it.
         if !self.settled {
             let (now, call) = (self.handle.clock.now(), self.call);
-            self.handle.lock().tell(now, Event::CallerGone(call));
+            self.handle.lock().tell(now, Event::CallerAbandoned(call));
             self.over(Outcome::Cancelled, true);
         }
         self.handle.lock().calls.remove(&self.call);
--- a/plugin/tests/stories.rs
+++ b/plugin/tests/stories.rs
@@ -88,13 +88,13 @@
     }
 }
 
-fn line(name: &str, n: u32) -> Listed {
-    Listed {
+fn line(name: &str, n: u32) -> NamedEntry {
+    NamedEntry {
         name: name.to_owned(),
         number: ExchangeNumber(n),
         zone: 0,
         phase: Phase::InService,
-        started: Duration::ZERO,
+        started_at: Duration::ZERO,
     }
 }
 
@@ -108,35 +108,35 @@
     script: &[Result<&'static str, Outcome>],
 ) -> (Slateshed<Script, Threads, Numbers>, Script, Handle<Threads>) {
     let class = Class {
-        aim: ms(400),
+        target_delay: ms(400),
         deadline: ms(9000),
         worth: 1.0,
         late_worth: 0.2,
-        hold: ms(10_000),
-        effect: Effect::Pure,
+        mean_hold: ms(10_000),
+        idempotency: Idempotency::Idempotent,
         pools: vec![],
     };
     let rules = Rules {
         drain_grace: ms(500),
-        fall_multiple: 4.0,
-        fall_window: ms(1000),
-        cold_from: 0.3,
-        cold_time: ms(10_000),
-        release: ms(500),
+        overload_multiple: 4.0,
+        overload_window: ms(1000),
+        cold_capacity_ratio: 0.3,
+        warm_up_time: ms(10_000),
+        release_delay: ms(500),
     };
     let settings = Settings {
-        layout: Layout::Mesh { here: ExchangeNumber(0) },
+        topology: Topology::Mesh { local: ExchangeNumber(0) },
         classes: vec![class],
         tenant_quota: vec![],
         over_share_worth: 1.0,
         rules,
-        siblings: 3,
-        position: 0,
-        attempts: 5,
-        tick: ms(5),
-        resend: Duration::ZERO,
+        controller_count: 3,
+        controller_index: 0,
+        max_attempts: 5,
+        tick_interval: ms(5),
+        resend_interval: Duration::ZERO,
         discovery: Discovery::Pushed,
-        retry_after: ms(2000),
+        max_retry_after: ms(2000),
     };
     let handle = Handle::new(settings, 7, Threads(Instant::now())).expect("settings make sense");
     handle.list(true, &[line("own", 0), line("one", 1), line("two", 2)]);
@@ -170,7 +170,7 @@
 /// Guards against requests that wait out their time at a process that is gone, as the list says, or has started anew.
 #[test]
 fn a_request_at_a_process_that_is_gone_waits_for_nothing() {
-    for (phase, started) in [(Phase::Gone, 0), (Phase::InService, 90_000)] {
+    for (phase, started_at) in [(Phase::Gone, 0), (Phase::InService, 90_000)] {
         let (service, inner, handle) = handled(&[]);
         let request = std::thread::spawn({
             let mut service = service.clone();
@@ -181,7 +181,7 @@
             assert!(begun.elapsed() < ms(5000), "it goes out");
             std::thread::sleep(ms(1));
         }
-        handle.list(false, &[Listed { phase, started: ms(started), ..line("one", 1) }]);
+        handle.list(false, &[NamedEntry { phase, started_at: ms(started_at), ..line("one", 1) }]);
         let result = request.join().expect("no panic");
         assert!(matches!(result, Err(Error::Refused(_))), "{result:?}");
         // Its own time is 400 ms, and it may not go again within 500.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,7 +8,7 @@
 
 /// Reads JSON that may come from anywhere. The parser descends once a level, so the depth is bounded first:
 /// a deep nest would overflow its stack and end the process.
-pub fn json(text: &str, deepest: usize) -> Result<JsonValue, String> {
+pub fn parse_json(text: &str, deepest: usize) -> Result<JsonValue, String> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for b in text.bytes() {
         match b {
@@ -26,26 +26,26 @@
     text.parse().map_err(|e| format!("no JSON: {e}"))
 }
 
-/// The value at a dotted path.
-pub fn at<'a>(root: &'a JsonValue, path: &str) -> Option<&'a JsonValue> {
+/// Looks up the value at a dotted path.
+pub fn lookup<'a>(root: &'a JsonValue, path: &str) -> Option<&'a JsonValue> {
     path.split('.').try_fold(root, |v, key| v.get::<std::collections::HashMap<_, _>>()?.get(key))
 }
 
 /// A finite number.
 pub fn number(root: &JsonValue, path: &str) -> Result<f64, String> {
-    let number = at(root, path).and_then(JsonValue::get::<f64>).copied();
+    let number = lookup(root, path).and_then(JsonValue::get::<f64>).copied();
     number.filter(|x| x.is_finite()).ok_or_else(|| format!("{path} is no number"))
 }
 
 /// A text.
 pub fn text<'a>(root: &'a JsonValue, path: &str) -> Result<&'a str, String> {
-    let text = at(root, path).and_then(JsonValue::get::<String>);
+    let text = lookup(root, path).and_then(JsonValue::get::<String>);
     text.map(String::as_str).ok_or_else(|| format!("{path} is no text"))
 }
 
 /// A list.
 pub fn list<'a>(root: &'a JsonValue, path: &str) -> Result<&'a [JsonValue], String> {
-    let list = at(root, path).and_then(JsonValue::get::<Vec<JsonValue>>);
+    let list = lookup(root, path).and_then(JsonValue::get::<Vec<JsonValue>>);
     list.map(Vec::as_slice).ok_or_else(|| format!("{path} is no list"))
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// A time in milliseconds.
-pub fn time(root: &JsonValue, path: &str) -> Result<Duration, String> {
+pub fn millis(root: &JsonValue, path: &str) -> Result<Duration, String> {
     duration(number(root, path)?).ok_or_else(|| format!("{path} is out of range"))
 }
 
@@ -68,21 +68,21 @@
 }
 
 fn class(root: &JsonValue, service: &JsonValue, position: usize) -> Result<Class, String> {
-    let group = match text(service, "group")? {
-        "all" => RepeatGroup::All,
-        "zone" => RepeatGroup::Zone,
-        "cell" => RepeatGroup::Number,
+    let scope = match text(service, "group")? {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Number,
         other => return Err(format!("services.group {other} is unknown")),
     };
-    let effect = match text(service, "semantics")? {
-        "pure" => Effect::Pure,
-        "token" => Effect::Token { group, window: time(service, "window_ms")? },
-        "side_effect" => Effect::SideEffect,
+    let idempotency = match text(service, "semantics")? {
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Deduplicated { scope, window: millis(service, "window_ms")? },
+        "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("services.semantics {other} is unknown")),
     };
     let holds = list(root, "specifics.mean_hold_ms")?;
-    let hold = holds.get(position).and_then(JsonValue::get::<f64>).copied();
-    let hold = hold.and_then(duration).ok_or("specifics.mean_hold_ms lacks a class")?;
+    let mean_hold = holds.get(position).and_then(JsonValue::get::<f64>).copied();
+    let mean_hold = mean_hold.and_then(duration).ok_or("specifics.mean_hold_ms lacks a class")?;
     let mut pools = Vec::new();
     let allowed = list(root, "specifics.allowed_pools")?.get(position);
     if let Some(own) = allowed.and_then(JsonValue::get::<Vec<JsonValue>>) {
@@ -94,12 +94,12 @@
         }
     }
     Ok(Class {
-        aim: time(service, "promise_ms")?,
-        deadline: time(service, "deadline_ms")?,
+        target_delay: millis(service, "promise_ms")?,
+        deadline: millis(service, "deadline_ms")?,
         worth: number(service, "points")?,
         late_worth: number(service, "late_worth")?,
-        hold,
-        effect,
+        mean_hold,
+        idempotency,
         pools,
     })
 }
@@ -112,10 +112,10 @@
 }
 
 /// Reads the settings.
-pub fn settings(root: &JsonValue) -> Result<Settings, String> {
-    let layout = match text(root, "specifics.layout")? {
-        "meshed" => Layout::Mesh { here: ExchangeNumber(count(root, "specifics.here")?) },
-        "groups" => Layout::Pools,
+pub fn parse_settings(root: &JsonValue) -> Result<Settings, String> {
+    let topology = match text(root, "specifics.layout")? {
+        "meshed" => Topology::Mesh { local: ExchangeNumber(count(root, "specifics.here")?) },
+        "groups" => Topology::Pools,
         other => return Err(format!("specifics.layout {other} is unknown")),
     };
     let discovery = match text(root, "discovery")? {
@@ -128,26 +128,30 @@
         services.iter().enumerate().map(|(i, s)| class(root, s, i)).collect::<Result<_, _>>()?;
     let quota = |t: &JsonValue| number(t, "quota_per_s");
     let retry =
-        at(root, "allowed.retry_after").and_then(JsonValue::get::<bool>).copied().unwrap_or(false);
+        lookup(root, "allowed.retry_after").and_then(JsonValue::get::<bool>).copied().unwrap_or(false);
     Ok(Settings {
-        layout,
+        topology,
         classes,
         tenant_quota: list(root, "tenants")?.iter().map(quota).collect::<Result<_, _>>()?,
         over_share_worth: number(root, "over_share_worth")?,
         rules: Rules {
-            drain_grace: time(root, "rules.drain_grace_ms")?,
-            fall_multiple: number(root, "rules.fall_multiple")?,
-            fall_window: time(root, "rules.fall_ms")?,
-            cold_from: number(root, "rules.cold_from")?,
-            cold_time: time(root, "rules.cold_ms")?,
-            release: time(root, "specifics.clear_wait_ms")?,
+            drain_grace: millis(root, "rules.drain_grace_ms")?,
+            overload_multiple: number(root, "rules.fall_multiple")?,
+            overload_window: millis(root, "rules.fall_ms")?,
+            cold_capacity_ratio: number(root, "rules.cold_from")?,
+            warm_up_time: millis(root, "rules.cold_ms")?,
+            release_delay: millis(root, "specifics.clear_wait_ms")?,
         },
-        siblings: count(root, "siblings")?,
-        position: count(root, "position")?,
-        attempts: count(root, "allowed.try_limit")?,
-        tick: time(root, "tick_ms")?,
-        resend: time(root, "specifics.resend_ms")?,
+        controller_count: count(root, "siblings")?,
+        controller_index: count(root, "position")?,
+        max_attempts: count(root, "allowed.try_limit")?,
+        tick_interval: millis(root, "tick_ms")?,
+        resend_interval: millis(root, "specifics.resend_ms")?,
         discovery,
-        retry_after: if retry { time(root, "allowed.max_retry_after_ms")? } else { Duration::ZERO },
+        max_retry_after: if retry {
+            millis(root, "allowed.max_retry_after_ms")?
+        } else {
+            Duration::ZERO
+        },
     })
 }
--- a/sources/src/har.rs
+++ b/sources/src/har.rs
@@ -65,7 +65,7 @@
     let whole = |e: String| SourceError::new(Place::Whole, e);
     // A byte order mark is allowed by the format.
     let source = source.strip_prefix('\u{feff}').unwrap_or(source);
-    let root: JsonValue = slateshed_settings::json(source, DEEPEST).map_err(whole)?;
+    let root: JsonValue = slateshed_settings::parse_json(source, DEEPEST).map_err(whole)?;
     let root: &Object = root.get().ok_or_else(|| whole("no object".into()))?;
     let log = object(root, "log").map_err(whole)?;
     let entries: &Vec<JsonValue> = log
--- a/sources/src/lib.rs
+++ b/sources/src/lib.rs
@@ -126,7 +126,7 @@
             patience: rule.patience,
             destination: rule.destination,
             circuits: rule.circuits,
-            advice: None,
+            route_hint: None,
             origin: Origin::Subscriber,
         })
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -167,7 +167,7 @@
     zone: u32,
     /// Gone ones are kept until the number has another: the trunk group outlives them.
     phase: Phase,
-    ready_at: Duration,
+    started_at: Duration,
     /// When this controller was told of that start, and when its last set-up was due under the cold budget.
     told: Duration,
     due: Option<Duration>,
@@ -290,7 +290,7 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len() as f64;
-        let mean_aim = settings.classes.iter().map(|c| secs(c.aim)).sum::<f64>() / classes;
+        let mean_aim = settings.classes.iter().map(|c| secs(c.target_delay)).sum::<f64>() / classes;
         let mean_worth = settings.classes.iter().map(|c| c.worth).sum::<f64>() / classes;
         Ok(Controller {
             settings,
@@ -338,9 +338,9 @@
             Event::Started => self.subscribe(actions),
             Event::List(list) => self.take_list(list, actions),
             Event::Call(new) => self.take_call(new, actions),
-            Event::Stands { call, attempt, delay } => self.stands(call, attempt, delay),
-            Event::AttemptOver(end) => self.attempt_over(end, actions),
-            Event::CallerGone(call) => self.caller_gone(call),
+            Event::Answered { call, attempt, delay } => self.stands(call, attempt, delay),
+            Event::AttemptEnded(end) => self.attempt_over(end, actions),
+            Event::CallerAbandoned(call) => self.caller_gone(call),
             Event::Circuits { exchange, free, size } => {
                 if let Some(far) = self.far.get_mut(&exchange) {
                     (far.free, far.size) = (Some(free), size);
@@ -373,7 +373,7 @@
     /// Whether a set-up to a processor would still stand well within a class's aim. Lets calls of much
     /// more than the mean worth pass a latch that is shut for the others' sake.
     fn in_time(&self, exchange: ExchangeId, class: usize) -> bool {
-        let most = secs(self.settings.classes[class].aim) * VALUED_OF_AIM - self.own.delay;
+        let most = secs(self.settings.classes[class].target_delay) * VALUED_OF_AIM - self.own.delay;
         self.far.get(&exchange).is_some_and(|f| f.est.expected(self.now, &self.own) < most)
     }
 
@@ -422,7 +422,9 @@
             return Verdict::Refuse;
         };
         let new = held.new.clone();
-        if held.attempts >= self.settings.attempts || held.deadline <= self.now + self.settings.tick {
+        if held.attempts >= self.settings.max_attempts
+            || held.deadline <= self.now + self.settings.tick_interval
+        {
             return Verdict::Refuse;
         }
         let transit = new.origin == Origin::Transit;
@@ -462,7 +464,7 @@
     fn rank(&self, call: CallId) -> Rank {
         let held = &self.calls[&call];
         let class = &self.settings.classes[held.new.class];
-        if secs(self.now - held.first_try) + self.own.delay >= secs(class.aim) {
+        if secs(self.now - held.first_try) + self.own.delay >= secs(class.target_delay) {
             Rank::Late
         } else if class.worth >= VALUED_WORTH * self.mean_worth {
             Rank::Valued
@@ -511,7 +513,7 @@
                 continue;
             }
             let stood = pair.is_some_and(|p| p.times == 0);
-            let doubt = if new.advice == Some(number) { 0 } else { 2 - u32::from(stood) };
+            let doubt = if new.route_hint == Some(number) { 0 } else { 2 - u32::from(stood) };
             let delay = self.far[&id].est.smoothed.unwrap_or(0.0);
             let spread = (self.seed ^ u64::from(number.0)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
             let key = (doubt, delay, spread);
@@ -532,7 +534,7 @@
             return;
         }
         if new.origin != Origin::Transit {
-            let aim = secs(self.settings.classes[new.class].aim);
+            let aim = secs(self.settings.classes[new.class].target_delay);
             self.mean_aim += (aim - self.mean_aim) * MIX_WEIGHT;
             let worth = self.settings.classes[new.class].worth;
             self.mean_worth += (worth - self.mean_worth) * MIX_WEIGHT;
@@ -544,7 +546,7 @@
         let found_late = self.now == self.own.woke && new.origin != Origin::Transit;
         let short = Duration::from_secs_f64((self.mean_patience - secs(new.patience)).max(0.0));
         let waited = if found_late { short.min(self.own.stood_still) } else { Duration::ZERO };
-        let fresh = matches!(new.origin, Origin::Transit | Origin::Cut);
+        let fresh = matches!(new.origin, Origin::Transit | Origin::DroppedCall);
         let known = self.refused.get(&new.dialled).filter(|(_, until)| !fresh && *until > self.now);
         let first_try = known.map_or(self.now.saturating_sub(waited), |(first, _)| *first);
         let held = Held {
@@ -581,7 +583,7 @@
     /// a short wait saves; could harm where callers would do better elsewhere at once.
     fn may_hold(&self, call: CallId) -> bool {
         let held = &self.calls[&call];
-        let aim = self.settings.classes[held.new.class].aim;
+        let aim = self.settings.classes[held.new.class].target_delay;
         let until = held.first_try + aim.mul_f64(HOLD_OF_AIM * self.hurry);
         let in_time = self.rank(call) != Rank::Late && self.now + HOLD_STEP < until.min(held.deadline);
         held.new.origin != Origin::Transit && in_time
@@ -600,7 +602,7 @@
         far.est.unanswered.insert((now, call));
         far.free = far.free.map(|f| f.saturating_sub(held.new.circuits));
         // What stands later than the aim earns little, and its work and circuits are wanted by others.
-        let aim = self.settings.classes[held.new.class].aim;
+        let aim = self.settings.classes[held.new.class].target_delay;
         let timeout = held.deadline.saturating_sub(now).min(aim);
         actions.push(Action::SetUp { call, exchange, timeout });
     }
@@ -611,8 +613,8 @@
             return;
         };
         self.note_first_try(&held);
-        let effect = self.settings.classes[held.new.class].effect;
-        if held.may_have_run.is_none() || effect.lets_refuse() {
+        let idempotency = self.settings.classes[held.new.class].idempotency;
+        if held.may_have_run.is_none() || idempotency.allows_refusal() {
             let retry_after = Some(self.stay_away(&held)).filter(|d| !d.is_zero());
             actions.push(Action::Refuse { call, retry_after });
         } else {
@@ -625,11 +627,11 @@
     /// long as callers do. Guards against callers who come back when their call is worth little and keep
     /// others from their time; could harm where the way stays shut, by a look for each try.
     fn stay_away(&self, held: &Held) -> Duration {
-        let most = self.settings.retry_after;
+        let most = self.settings.max_retry_after;
         if let Some((_, next)) = self.busy.get(&held.new.dialled).filter(|(_, next)| *next > self.now) {
             return (*next - self.now).min(most);
         }
-        let aim = self.settings.classes[held.new.class].aim;
+        let aim = self.settings.classes[held.new.class].target_delay;
         let left = secs((held.first_try + aim).saturating_sub(self.now)) - self.own.delay;
         if left > 0.0 {
             most.min(Duration::from_secs_f64(left * STAY_OF_LEFT))
@@ -717,14 +719,14 @@
     }
 
     fn attempt_over(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let (call, settled) = (end.call, end.settled);
+        let (call, call_ended) = (end.call, end.call_ended);
         let Some(held) = self.calls.get(&call) else {
             return;
         };
         let class = &self.settings.classes[held.new.class];
-        let (hold, to, dialled) = (secs(class.hold), held.new.destination, held.new.dialled);
+        let (hold, to, dialled) = (secs(class.mean_hold), held.new.destination, held.new.dialled);
         let Some((exchange, sent)) = self.attempt_ended(call, end.attempt) else {
-            if settled && matches!(self.calls[&call].state, CallState::Standing) {
+            if call_ended && matches!(self.calls[&call].state, CallState::Standing) {
                 self.calls.remove(&call);
             }
             return;
@@ -741,7 +743,7 @@
                     far.free = Some(0);
                 }
             }
-            Outcome::TurnedBack | Outcome::FarProcessorFull => {
+            Outcome::TandemRefused | Outcome::FarProcessorFull => {
                 // Speaks of the pair, not of the tandem's processor, which did answer.
                 let tandem = self.far.get(&exchange).map_or(to, |f| f.number);
                 let p = self.pairs.entry(pair(tandem, to)).or_default();
@@ -788,11 +790,11 @@
         let Some(held) = self.calls.get_mut(&call) else {
             return;
         };
-        if settled || held.over {
+        if call_ended || held.over {
             self.calls.remove(&call);
             return;
         }
-        if !end.outcome.never_ran() && held.may_have_run.is_none() {
+        if !end.outcome.proves_not_run() && held.may_have_run.is_none() {
             held.may_have_run = Some((exchange, sent));
         }
         if excused {
@@ -801,13 +803,13 @@
             held.tried.push(exchange);
         }
         held.state = CallState::Waiting(now);
-        let wait = self.settings.rules.release * u32::from(release);
+        let wait = self.settings.rules.release_delay * u32::from(release);
         let until = if release {
-            held.first_try + self.settings.classes[held.new.class].aim
+            held.first_try + self.settings.classes[held.new.class].target_delay
         } else {
             held.deadline
         };
-        let in_time = now + wait + self.settings.tick * 4 < until.min(held.deadline);
+        let in_time = now + wait + self.settings.tick_interval * 4 < until.min(held.deadline);
         if !again || !in_time || held.new.origin == Origin::Transit {
             self.answer(call, actions);
         } else if release {
@@ -837,9 +839,11 @@
         let Some(mut held) = self.calls.remove(&call) else {
             return;
         };
-        if self.now + self.settings.tick * 4 < held.deadline && held.new.origin != Origin::Transit {
+        if self.now + self.settings.tick_interval * 4 < held.deadline
+            && held.new.origin != Origin::Transit
+        {
             let came = held.deadline.saturating_sub(held.new.patience);
-            let aim = self.settings.classes[held.new.class].aim;
+            let aim = self.settings.classes[held.new.class].target_delay;
             let stayed = (secs(self.now.saturating_sub(came)) / secs(aim)).min(1.0);
             self.hurry += (stayed - self.hurry) * HURRY_WEIGHT;
         }
@@ -866,9 +870,9 @@
             return false;
         };
         let class = &self.settings.classes[held.new.class];
-        let here = match self.settings.layout {
-            Layout::Mesh { here } => far.number == here,
-            Layout::Pools => !class.pools.is_empty() && !class.pools.contains(&far.number),
+        let here = match self.settings.topology {
+            Topology::Mesh { local } => far.number == local,
+            Topology::Pools => !class.pools.is_empty() && !class.pools.contains(&far.number),
         };
         if here || !self.warm_enough(exchange, far.number == held.new.destination) {
             return false;
@@ -876,15 +880,15 @@
         let Some((first, sent)) = held.may_have_run else {
             return true;
         };
-        match class.effect {
-            Effect::Pure => true,
-            Effect::SideEffect => false,
-            Effect::Token { group, window } => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Deduplicated { scope, window } => {
                 self.now < sent + window
-                    && match (group, self.far.get(&first)) {
-                        (RepeatGroup::All, _) => true,
-                        (RepeatGroup::Zone, Some(f)) => f.zone == far.zone,
-                        (RepeatGroup::Number, Some(f)) => f.number == far.number,
+                    && match (scope, self.far.get(&first)) {
+                        (DedupScope::All, _) => true,
+                        (DedupScope::Zone, Some(f)) => f.zone == far.zone,
+                        (DedupScope::Number, Some(f)) => f.number == far.number,
                         (_, None) => false,
                     }
             }
@@ -900,18 +904,19 @@
     fn warm_enough(&self, exchange: ExchangeId, own: bool) -> bool {
         self.far.get(&exchange).is_some_and(|far| {
             let (due, gap) = self.cold_due(far);
-            let more = gap * u32::from(!own && gap > self.settings.rules.fall_window);
-            let warm_at = far.ready_at.saturating_add(self.settings.rules.cold_time);
-            far.ready_at.is_zero() || self.now >= warm_at.min(due + more)
+            let more = gap * u32::from(!own && gap > self.settings.rules.overload_window);
+            let warm_at = far.started_at.saturating_add(self.settings.rules.warm_up_time);
+            far.started_at.is_zero() || self.now >= warm_at.min(due + more)
         })
     }
 
     /// When the next set-up to a processor is due under the cold budget, and the gap.
     fn cold_due(&self, far: &Far) -> (Duration, Duration) {
-        let (rules, siblings) = (&self.settings.rules, f64::from(self.settings.siblings));
-        let can = self.most_ever.max(1.0) * OWN_AND_THEIRS * rules.cold_from;
-        let gap = (siblings / (rules.fall_multiple * can)).min(secs(rules.cold_time));
-        let turn = f64::from(far.number.0.wrapping_add(self.settings.position)) % siblings / siblings;
+        let (rules, siblings) = (&self.settings.rules, f64::from(self.settings.controller_count));
+        let can = self.most_ever.max(1.0) * OWN_AND_THEIRS * rules.cold_capacity_ratio;
+        let gap = (siblings / (rules.overload_multiple * can)).min(secs(rules.warm_up_time));
+        let turn =
+            f64::from(far.number.0.wrapping_add(self.settings.controller_index)) % siblings / siblings;
         let gap = Duration::from_secs_f64(gap);
         (far.due.map_or(far.told + gap.mul_f64(turn), |t| t + gap), gap)
     }
@@ -922,18 +927,18 @@
         }
     }
 
-    fn take_list(&mut self, list: List, actions: &mut Vec<Action>) {
-        let whole = matches!(list, List::Whole(_));
+    fn take_list(&mut self, list: ListUpdate, actions: &mut Vec<Action>) {
+        let whole = matches!(list, ListUpdate::Full(_));
         let entries = match list {
-            List::Failed => {
+            ListUpdate::Failed => {
                 self.list_fails += 1;
                 let spread = 1.0 + (self.seed % 1000) as f64 / 1000.0;
                 let wait = LIST_RETRY.mul_f64(spread * f64::from(self.list_fails.min(4)));
                 self.timer(wait, Wake::List, actions);
                 return;
             }
-            List::Change(entries) => entries,
-            List::Whole(entries) => {
+            ListUpdate::Delta(entries) => entries,
+            ListUpdate::Full(entries) => {
                 self.far.values_mut().for_each(|f| f.phase = Phase::Gone);
                 entries
             }
@@ -944,21 +949,21 @@
             // A replacement takes over the trunk group: nobody tells again that it is full or missing.
             let same = old.as_ref().or_else(|| self.far.values().find(|f| f.number == e.number));
             let (free, size) = same.map_or((None, 0), |f| (f.free, f.size));
-            let start = old.as_ref().filter(|f| f.ready_at == e.ready_at);
+            let start = old.as_ref().filter(|f| f.started_at == e.started_at);
             let (told, due) = start.map_or((self.now, None), |f| (f.told, f.due));
             let est = old
                 .filter(|f| f.phase != Phase::Gone || whole)
                 .map_or_else(Estimate::default, |f| f.est);
             self.far.retain(|_, f| f.number != e.number || f.phase != Phase::Gone || whole);
-            let (number, zone, phase, ready_at) = (e.number, e.zone, e.phase, e.ready_at);
+            let (number, zone, phase, started_at) = (e.number, e.zone, e.phase, e.started_at);
             self.far
-                .insert(e.exchange, Far { number, zone, phase, ready_at, told, due, free, size, est });
+                .insert(e.exchange, Far { number, zone, phase, started_at, told, due, free, size, est });
         }
         self.serving.clear();
         let mut started: BTreeMap<ExchangeNumber, Duration> = BTreeMap::new();
         for (id, f) in self.far.iter().filter(|(_, f)| f.phase == Phase::InService) {
-            if started.get(&f.number).is_none_or(|t| f.ready_at >= *t) {
-                started.insert(f.number, f.ready_at);
+            if started.get(&f.number).is_none_or(|t| f.started_at >= *t) {
+                started.insert(f.number, f.started_at);
                 self.serving.insert(f.number, *id);
             }
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -25,33 +25,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// What repeating a call's set-up may do.
+/// Whether the set-up of a call may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Repeats do no harm.
-    Pure,
-    /// The exchanges of one [`RepeatGroup`] know repeats of one call for a while.
-    Token {
-        /// Who knows the repeats.
-        group: RepeatGroup,
-        /// For how long after the first send that may have run.
+pub enum Idempotency {
+    /// Repeats are harmless.
+    Idempotent,
+    /// The exchanges within the [`DedupScope`] recognise repeated set-ups of one call for a limited time.
+    Deduplicated {
+        /// The exchanges that recognise the repeats.
+        scope: DedupScope,
+        /// How long after the first set-up that may have run repeats are recognised.
         window: Duration,
     },
     /// A set-up that may have run must not be repeated, nor the call be refused.
-    SideEffect,
+    NonIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether a call may be refused although a set-up may have run.
-    pub fn lets_refuse(self) -> bool {
-        let group = RepeatGroup::All;
-        self == Effect::Pure || matches!(self, Effect::Token { group: g, .. } if g == group)
+    pub fn allows_refusal(self) -> bool {
+        let scope = DedupScope::All;
+        self == Idempotency::Idempotent
+            || matches!(self, Idempotency::Deduplicated { scope: s, .. } if s == scope)
     }
 }
 
-/// The exchanges that know each other's repeats.
+/// The set of exchanges among which repeated set-ups are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of the first exchange's zone.
@@ -63,29 +64,29 @@
 /// One class of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A call that stands within this time earns its full worth.
-    pub aim: Duration,
+    /// A call that is answered within this time earns its full worth.
+    pub target_delay: Duration,
     /// How long a caller keeps trying, over all tries.
     pub deadline: Duration,
     /// What a call that stands in time is worth.
     pub worth: f64,
     /// Share of the worth for a call that stands after its aim.
     pub late_worth: f64,
-    /// Mean duration of a call.
-    pub hold: Duration,
-    /// What repeats may do.
-    pub effect: Effect,
+    /// Mean duration of an answered call.
+    pub mean_hold: Duration,
+    /// Whether set-ups may be repeated.
+    pub idempotency: Idempotency,
     /// With pools: those that serve the class; empty for all.
     pub pools: Vec<ExchangeNumber>,
 }
 
-/// What the exchanges are to each other.
+/// How the exchanges are connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Layout {
-    /// Trunk groups between exchanges; this controller stands at the one named.
+pub enum Topology {
+    /// Trunk groups between exchanges; this controller serves the local one.
     Mesh {
-        /// The own exchange.
-        here: ExchangeNumber,
+        /// The local exchange.
+        local: ExchangeNumber,
     },
     /// Pools of agents that all controllers share; no transit.
     Pools,
@@ -105,23 +106,23 @@
 pub struct Rules {
     /// New set-ups to a draining exchange end within this time of the notice.
     pub drain_grace: Duration,
-    /// A cold exchange falls over when sent more than this multiple of what it can do.
-    pub fall_multiple: f64,
-    /// The span over which that is counted.
-    pub fall_window: Duration,
-    /// Least share of its capacity at which an exchange starts.
-    pub cold_from: f64,
-    /// It is warm at the latest this long after its start.
-    pub cold_time: Duration,
-    /// Wait before a call is sent again after a time-out, reset or cancel.
-    pub release: Duration,
+    /// A cold exchange becomes overloaded when sent more than this multiple of its current capacity.
+    pub overload_multiple: f64,
+    /// The window over which those set-ups are counted.
+    pub overload_window: Duration,
+    /// Lowest share of its full capacity with which an exchange starts, above 0 and at most 1.
+    pub cold_capacity_ratio: f64,
+    /// An exchange has its full capacity at the latest this long after its start.
+    pub warm_up_time: Duration,
+    /// Delay before a call is set up again after a time-out, reset or cancel.
+    pub release_delay: Duration,
 }
 
 /// All that the controller is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Mesh or pools.
-    pub layout: Layout,
+    pub topology: Topology,
     /// Classes, in the order in which calls name them.
     pub classes: Vec<Class>,
     /// Set-ups a second, of all controllers, within each tenant's share; may be empty.
@@ -131,30 +132,30 @@
     /// The figures of the five rules.
     pub rules: Rules,
     /// How many controllers there are, this one included.
-    pub siblings: u32,
+    pub controller_count: u32,
     /// Which of them this one is, counted from 0.
-    pub position: u32,
-    /// Most set-ups for one call.
-    pub attempts: u32,
-    /// Least time between two turns of the controller.
-    pub tick: Duration,
-    /// A set-up that waits is sent again by the network after this time; zero: never.
-    pub resend: Duration,
+    pub controller_index: u32,
+    /// Maximum number of set-ups for one call.
+    pub max_attempts: u32,
+    /// Minimum time between two runs of the controller.
+    pub tick_interval: Duration,
+    /// Interval at which the network retransmits an unanswered set-up; zero: never.
+    pub resend_interval: Duration,
     /// How the list comes.
     pub discovery: Discovery,
-    /// Longest stay-away advice that callers follow; zero where none is passed on.
-    pub retry_after: Duration,
+    /// Longest retry-after that callers honour; zero where none is passed on.
+    pub max_retry_after: Duration,
 }
 
 impl Settings {
     /// Whether the settings make sense; names the first that does not.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let wrong = |setting, wanted| Err(SettingsError { setting, wanted });
+        let wrong = |setting, expected| Err(SettingsError { setting, expected });
         if self.classes.is_empty() {
             return wrong("classes", "at least one class");
         }
         for c in &self.classes {
-            if c.aim.is_zero() || c.deadline < c.aim {
+            if c.target_delay.is_zero() || c.deadline < c.target_delay {
                 return wrong("classes.aim", "above zero and within the deadline");
             }
             let worth = c.worth.is_finite() && c.worth >= 0.0;
@@ -163,16 +164,16 @@
             }
         }
         let r = &self.rules;
-        if !(r.fall_multiple.is_finite() && r.fall_multiple > 0.0) {
+        if !(r.overload_multiple.is_finite() && r.overload_multiple > 0.0) {
             return wrong("rules.fall_multiple", "above zero");
         }
-        if !(r.cold_from > 0.0 && r.cold_from <= 1.0) {
+        if !(r.cold_capacity_ratio > 0.0 && r.cold_capacity_ratio <= 1.0) {
             return wrong("rules.cold_from", "above 0, at most 1");
         }
-        if self.siblings == 0 {
+        if self.controller_count == 0 {
             return wrong("siblings", "at least one controller");
         }
-        if self.attempts == 0 {
+        if self.max_attempts == 0 {
             return wrong("attempts", "at least one attempt");
         }
         let quota = |q: &f64| q.is_finite() && *q >= 0.0;
@@ -188,13 +189,13 @@
 pub struct SettingsError {
     /// The setting at fault.
     pub setting: &'static str,
-    /// What it should have been.
-    pub wanted: &'static str,
+    /// The values that it accepts.
+    pub expected: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "setting {}: {}", self.setting, self.wanted)
+        write!(f, "setting {}: {}", self.setting, self.expected)
     }
 }
 
@@ -211,9 +212,9 @@
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     /// The processor.
     pub exchange: ExchangeId,
     /// The number it serves.
@@ -223,12 +224,12 @@
     /// What it is doing.
     pub phase: Phase,
     /// When it last started, by the host's clock; zero: long ago.
-    pub ready_at: Duration,
+    pub started_at: Duration,
 }
 
-/// One line of the list as a host hears it, with the exchange's own name.
+/// One entry of the list as a host receives it, with the name of the exchange.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct NamedEntry {
     /// The name of the processor.
     pub name: String,
     /// The number it serves.
@@ -238,29 +239,29 @@
     /// What it is doing.
     pub phase: Phase,
     /// When it last started, by the host's clock; zero: long ago.
-    pub started: Duration,
+    pub started_at: Duration,
 }
 
-impl Listed {
-    /// The line for the controller, which knows exchanges by an id of the host's.
-    pub fn entry(&self, exchange: ExchangeId) -> Entry {
-        Entry {
+impl NamedEntry {
+    /// Converts the entry for the controller, which identifies exchanges by the host's ids.
+    pub fn entry(&self, exchange: ExchangeId) -> ListEntry {
+        ListEntry {
             exchange,
             number: self.number,
             zone: self.zone,
             phase: self.phase,
-            ready_at: self.started,
+            started_at: self.started_at,
         }
     }
 }
 
-/// A piece of news about the list.
+/// An update of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum List {
-    /// Changed lines only.
-    Change(Vec<Entry>),
-    /// All lines; who is missing is gone.
-    Whole(Vec<Entry>),
+pub enum ListUpdate {
+    /// Changed entries only.
+    Delta(Vec<ListEntry>),
+    /// All entries; an exchange that is missing is gone.
+    Full(Vec<ListEntry>),
     /// The list could not be had, or the subscription broke; the old list stays.
     Failed,
 }
@@ -272,8 +273,8 @@
     Subscriber,
     /// A subscriber who dialled before.
     Redial,
-    /// A subscriber whose standing call was cut.
-    Cut,
+    /// A subscriber whose answered call was dropped.
+    DroppedCall,
     /// Another exchange, for which this one is the tandem.
     Transit,
 }
@@ -295,8 +296,8 @@
     pub destination: ExchangeNumber,
     /// Circuits it takes on each trunk group.
     pub circuits: u32,
-    /// The tandem or pool that a centre saw with most room some time ago.
-    pub advice: Option<ExchangeNumber>,
+    /// The tandem or pool with the most free circuits, as reported by a central service some time ago.
+    pub route_hint: Option<ExchangeNumber>,
     /// Where it comes from.
     pub origin: Origin,
 }
@@ -308,9 +309,9 @@
     Ended,
     /// No circuit (or agent) was free.
     NoCircuit,
-    /// The tandem turned it back.
-    TurnedBack,
-    /// The tandem turned it back as the destination's processor was full.
+    /// The tandem refused it.
+    TandemRefused,
+    /// The tandem refused it because the destination's processor was full.
     FarProcessorFull,
     /// The processor was full; with the wait that it told, where it tells one.
     ProcessorFull(Option<Duration>),
@@ -336,11 +337,12 @@
 }
 
 impl Outcome {
-    /// Whether this end proves that the set-up never ran.
-    pub fn never_ran(self) -> bool {
+    /// Whether this outcome proves that the set-up never ran.
+    pub fn proves_not_run(self) -> bool {
         use Outcome::*;
-        let turned_away = matches!(self, NoCircuit | TurnedBack | FarProcessorFull | ProcessorFull(_));
-        turned_away || matches!(self, Unreachable | NotSent | OwnProcessorDown)
+        let was_rejected =
+            matches!(self, NoCircuit | TandemRefused | FarProcessorFull | ProcessorFull(_));
+        was_rejected || matches!(self, Unreachable | NotSent | OwnProcessorDown)
     }
 }
 
@@ -355,8 +357,8 @@
     pub delay: Duration,
     /// How it ended.
     pub outcome: Outcome,
-    /// Whether the call itself has ended; else an answer is still owed.
-    pub settled: bool,
+    /// Whether the call itself has ended; otherwise its final answer is still outstanding.
+    pub call_ended: bool,
 }
 
 /// What the controller is told.
@@ -364,12 +366,12 @@
 pub enum Event {
     /// The controller runs from now on; once, before all else.
     Started,
-    /// News of the list.
-    List(List),
+    /// An update of the list.
+    List(ListUpdate),
     /// A call to decide.
     Call(NewCall),
-    /// A call stands.
-    Stands {
+    /// A call has been answered.
+    Answered {
         /// The call.
         call: CallId,
         /// Which of its attempts, from 0.
@@ -377,10 +379,10 @@
         /// From the set-up to the answer.
         delay: Duration,
     },
-    /// An attempt is over; exactly one for each set-up.
-    AttemptOver(AttemptEnd),
-    /// The caller left; no answer is owed any more.
-    CallerGone(CallId),
+    /// An attempt has ended; exactly one event for each set-up.
+    AttemptEnded(AttemptEnd),
+    /// The caller abandoned the call; no final answer is expected any more.
+    CallerAbandoned(CallId),
     /// Circuits of the trunk group to an exchange (or agents of a pool).
     Circuits {
         /// The exchange at the other end.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,45 +10,45 @@
 //!
 //! let ms = Duration::from_millis;
 //! let settings = Settings {
-//!     layout: Layout::Mesh { here: ExchangeNumber(0) },
+//!     topology: Topology::Mesh { local: ExchangeNumber(0) },
 //!     classes: vec![Class {
-//!         aim: ms(1500),
+//!         target_delay: ms(1500),
 //!         deadline: ms(9000),
 //!         worth: 1.0,
 //!         late_worth: 0.2,
-//!         hold: ms(10_000),
-//!         effect: Effect::Pure,
+//!         mean_hold: ms(10_000),
+//!         idempotency: Idempotency::Idempotent,
 //!         pools: vec![],
 //!     }],
 //!     tenant_quota: vec![],
 //!     over_share_worth: 1.0,
 //!     rules: Rules {
 //!         drain_grace: ms(1000),
-//!         fall_multiple: 3.0,
-//!         fall_window: ms(1000),
-//!         cold_from: 0.3,
-//!         cold_time: ms(10_000),
-//!         release: ms(300),
+//!         overload_multiple: 3.0,
+//!         overload_window: ms(1000),
+//!         cold_capacity_ratio: 0.3,
+//!         warm_up_time: ms(10_000),
+//!         release_delay: ms(300),
 //!     },
-//!     siblings: 3,
-//!     position: 0,
-//!     attempts: 5,
-//!     tick: ms(5),
-//!     resend: Duration::ZERO,
+//!     controller_count: 3,
+//!     controller_index: 0,
+//!     max_attempts: 5,
+//!     tick_interval: ms(5),
+//!     resend_interval: Duration::ZERO,
 //!     discovery: Discovery::Pushed,
-//!     retry_after: Duration::ZERO,
+//!     max_retry_after: Duration::ZERO,
 //! };
 //! let mut controller = Controller::new(settings, 7)?;
 //! let mut actions = Vec::new();
-//! let entry = |id, number| Entry {
+//! let entry = |id, number| ListEntry {
 //!     exchange: ExchangeId(id),
 //!     number: ExchangeNumber(number),
 //!     zone: 0,
 //!     phase: Phase::InService,
-//!     ready_at: Duration::ZERO,
+//!     started_at: Duration::ZERO,
 //! };
 //! controller.handle(ms(0), Event::Started, &mut actions);
-//! let list = List::Whole(vec![entry(10, 0), entry(11, 1)]);
+//! let list = ListUpdate::Full(vec![entry(10, 0), entry(11, 1)]);
 //! controller.handle(ms(0), Event::List(list), &mut actions);
 //! let trunks = Event::Circuits { exchange: ExchangeId(11), free: 20, size: 30 };
 //! controller.handle(ms(0), trunks, &mut actions);
@@ -60,7 +60,7 @@
 //!     patience: ms(3000),
 //!     destination: ExchangeNumber(1),
 //!     circuits: 1,
-//!     advice: None,
+//!     route_hint: None,
 //!     origin: Origin::Subscriber,
 //! };
 //! controller.handle(ms(5), Event::Call(call), &mut actions);
--- a/tests/controller/common.rs
+++ b/tests/controller/common.rs
@@ -9,38 +9,44 @@
 
 pub fn settings() -> Settings {
     Settings {
-        layout: Layout::Mesh { here: ExchangeNumber(0) },
+        topology: Topology::Mesh { local: ExchangeNumber(0) },
         classes: vec![Class {
-            aim: ms(1500),
+            target_delay: ms(1500),
             deadline: ms(9000),
             worth: 1.0,
             late_worth: 0.2,
-            hold: ms(10_000),
-            effect: Effect::Pure,
+            mean_hold: ms(10_000),
+            idempotency: Idempotency::Idempotent,
             pools: vec![],
         }],
         tenant_quota: vec![],
         over_share_worth: 1.0,
         rules: Rules {
             drain_grace: ms(1000),
-            fall_multiple: 2.5,
-            fall_window: ms(1000),
-            cold_from: 0.35,
-            cold_time: ms(14_000),
-            release: ms(500),
+            overload_multiple: 2.5,
+            overload_window: ms(1000),
+            cold_capacity_ratio: 0.35,
+            warm_up_time: ms(14_000),
+            release_delay: ms(500),
         },
-        siblings: 4,
-        position: 0,
-        attempts: 5,
-        tick: ms(5),
-        resend: Duration::ZERO,
+        controller_count: 4,
+        controller_index: 0,
+        max_attempts: 5,
+        tick_interval: ms(5),
+        resend_interval: Duration::ZERO,
         discovery: Discovery::Pushed,
-        retry_after: Duration::ZERO,
+        max_retry_after: Duration::ZERO,
     }
 }
 
-pub fn entry(number: u32, phase: Phase, ready_at: Duration) -> Entry {
-    Entry { exchange: ExchangeId(10 + number), number: ExchangeNumber(number), zone: 0, phase, ready_at }
+pub fn entry(number: u32, phase: Phase, started_at: Duration) -> ListEntry {
+    ListEntry {
+        exchange: ExchangeId(10 + number),
+        number: ExchangeNumber(number),
+        zone: 0,
+        phase,
+        started_at,
+    }
 }
 
 pub fn far(number: u32) -> ExchangeId {
@@ -60,7 +66,7 @@
         let mut host = Host { controller, now: ms(100_000), next_call: 0 };
         host.tell(Event::Started);
         let list = (0..4).map(|n| entry(n, Phase::InService, Duration::ZERO));
-        host.tell(Event::List(List::Whole(list.collect())));
+        host.tell(Event::List(ListUpdate::Full(list.collect())));
         for n in 1..4 {
             host.circuits(n, 30);
         }
@@ -77,9 +83,9 @@
         self.tell(Event::Circuits { exchange: far(number), free, size: 30 });
     }
 
-    pub fn change(&mut self, number: u32, phase: Phase, ready_at: Duration) {
-        let entries = vec![entry(number, phase, ready_at)];
-        self.tell(Event::List(List::Change(entries)));
+    pub fn change(&mut self, number: u32, phase: Phase, started_at: Duration) {
+        let entries = vec![entry(number, phase, started_at)];
+        self.tell(Event::List(ListUpdate::Delta(entries)));
     }
 
     /// A call that has not been handed over yet.
@@ -93,7 +99,7 @@
             patience: ms(3000),
             destination: ExchangeNumber(destination),
             circuits: 1,
-            advice: None,
+            route_hint: None,
             origin: Origin::Subscriber,
         }
     }
@@ -104,16 +110,16 @@
     }
 
     pub fn stands(&mut self, call: CallId, attempt: u32, delay: Duration) -> Vec<Action> {
-        self.tell(Event::Stands { call, attempt, delay })
+        self.tell(Event::Answered { call, attempt, delay })
     }
 
     pub fn over(&mut self, call: CallId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::AttemptOver(AttemptEnd {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             call,
             attempt,
             delay: ms(100),
             outcome,
-            settled: false,
+            call_ended: false,
         }))
     }
 
@@ -121,7 +127,7 @@
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 100 {
             self.now += ms(100);
-            self.tell(Event::CallerGone(CallId(0)));
+            self.tell(Event::CallerAbandoned(CallId(0)));
         }
     }
 
--- a/tests/controller/failures.rs
+++ b/tests/controller/failures.rs
@@ -41,8 +41,8 @@
     let (mut host, call) = shut(settings());
     host.now += ms(100);
     let end =
-        AttemptEnd { call, attempt: 0, delay: ms(1500), outcome: Outcome::TimedOut, settled: false };
-    host.tell(Event::AttemptOver(end));
+        AttemptEnd { call, attempt: 0, delay: ms(1500), outcome: Outcome::TimedOut, call_ended: false };
+    host.tell(Event::AttemptEnded(end));
     host.now += ms(1000);
     assert_eq!(sent_to(&host.call(1).1), None, "the given-up set-up may still wait in line");
     host.now += ms(600);
@@ -106,7 +106,7 @@
             assert!(host.now < start + ms(20_000));
         };
         rests.push(host.now - start);
-        host.over(call, 0, Outcome::TurnedBack);
+        host.over(call, 0, Outcome::TandemRefused);
     }
     assert!(rests[1] >= ms(1000) && rests[2] >= ms(2000), "{rests:?}");
 }
@@ -118,7 +118,7 @@
     let (call, actions) = host.call(1);
     let tandem = sent_to(&actions).expect("over a tandem");
     let other = if tandem == far(2) { far(3) } else { far(2) };
-    let actions = host.over(call, 0, Outcome::TurnedBack);
+    let actions = host.over(call, 0, Outcome::TandemRefused);
     assert_eq!(sent_to(&actions), Some(other), "the other tandem next");
     let number = tandem.0 - 10;
     assert_eq!(sent_to(&host.call(number).1), Some(tandem), "direct calls there go on");
@@ -127,7 +127,7 @@
 #[test]
 fn at_most_two_tandems_are_tried_for_a_call() {
     let mut s = settings();
-    s.attempts = 9;
+    s.max_attempts = 9;
     let mut host = Host::new(s);
     for n in 4..8 {
         host.change(n, Phase::InService, Duration::ZERO);
@@ -137,7 +137,7 @@
     let (call, mut actions) = host.call(1);
     let mut attempts = 0;
     while sent_to(&actions).is_some() {
-        actions = host.over(call, attempts, Outcome::TurnedBack);
+        actions = host.over(call, attempts, Outcome::TandemRefused);
         attempts += 1;
     }
     assert_eq!(attempts, 2);
@@ -225,7 +225,7 @@
         host.now += ms(20);
         if timer(&actions).is_some() {
             held += 1;
-            host.tell(Event::CallerGone(call));
+            host.tell(Event::CallerAbandoned(call));
         }
         host.now += ms(20);
     }
@@ -288,7 +288,7 @@
 #[test]
 fn an_own_jam_is_seen_by_time_outs_of_processors_never_heard() {
     let mut s = settings();
-    s.siblings = 20;
+    s.controller_count = 20;
     let mut host = Host::new(s);
     for n in 4..20 {
         host.change(n, Phase::InService, Duration::ZERO);
@@ -300,7 +300,13 @@
     host.pass(1500);
     for call in calls {
         let (delay, outcome) = (ms(1500), Outcome::TimedOut);
-        host.tell(Event::AttemptOver(AttemptEnd { call, attempt: 0, delay, outcome, settled: true }));
+        host.tell(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt: 0,
+            delay,
+            outcome,
+            call_ended: true,
+        }));
     }
     assert!(sent_to(&host.call(11).1).is_some(), "the sample");
     assert_eq!(sent_to(&host.call(12).1), None);
@@ -325,7 +331,7 @@
     host.circuits(1, 0);
     for n in [9, 6] {
         let mut new = host.new_call(1);
-        new.advice = Some(ExchangeNumber(n));
+        new.route_hint = Some(ExchangeNumber(n));
         let call = new.call;
         assert_eq!(sent_to(&host.tell(Event::Call(new))), Some(far(n)));
         host.now += ms(50 + u64::from(n) * 10);
@@ -341,7 +347,7 @@
     host.circuits(3, 0);
     let (call, actions) = host.call(1);
     assert_eq!(sent_to(&actions), Some(far(2)));
-    host.over(call, 0, Outcome::TurnedBack);
+    host.over(call, 0, Outcome::TandemRefused);
     host.circuits(1, 30);
     host.circuits(2, 0);
     assert_eq!(sent_to(&host.call(2).1), None, "1 has no circuit to 2 either");
@@ -352,8 +358,8 @@
     let mut host = Host::new(settings());
     host.circuits(1, 0);
     let now = host.now;
-    let replacement = Entry { exchange: ExchangeId(99), ..entry(1, Phase::InService, now) };
-    host.tell(Event::List(List::Change(vec![replacement])));
+    let replacement = ListEntry { exchange: ExchangeId(99), ..entry(1, Phase::InService, now) };
+    host.tell(Event::List(ListUpdate::Delta(vec![replacement])));
     assert_ne!(sent_to(&host.call(1).1), Some(ExchangeId(99)), "its group is full");
     host.change(2, Phase::Gone, Duration::ZERO);
     host.circuits(2, 0);
@@ -518,8 +524,8 @@
 #[test]
 fn with_many_siblings_a_cold_processor_is_kept_for_the_calls_meant_for_it() {
     let mut s = settings();
-    s.siblings = 80;
-    s.position = 79; // its turn comes first, as exchange 1 started
+    s.controller_count = 80;
+    s.controller_index = 79; // its turn comes first, as exchange 1 started
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     host.answer_calls(3, 100, ms(50), ms(50));
@@ -534,8 +540,8 @@
 #[test]
 fn a_processor_restarted_under_its_id_is_cold_anew() {
     let mut s = settings();
-    s.siblings = 80;
-    s.position = 39; // half a gap after the news of exchange 1
+    s.controller_count = 80;
+    s.controller_index = 39; // half a gap after the news of exchange 1
     let mut host = Host::new(s);
     host.answer_calls(1, 100, ms(50), ms(50));
     host.now += ms(20_000);
@@ -554,8 +560,8 @@
 #[test]
 fn without_an_answer_yet_a_cold_processor_is_sent_little() {
     let mut s = settings();
-    s.siblings = 80;
-    s.position = 39;
+    s.controller_count = 80;
+    s.controller_index = 39;
     let mut host = Host::new(s);
     let now = host.now;
     host.change(1, Phase::InService, now);
@@ -571,8 +577,8 @@
 #[test]
 fn what_was_carried_before_a_jam_still_says_what_a_cold_processor_can_do() {
     let mut s = settings();
-    s.siblings = 80;
-    s.position = 39; // half a gap after the news of exchange 1: three seconds by what was carried
+    s.controller_count = 80;
+    s.controller_index = 39; // half a gap after the news of exchange 1: three seconds by what was carried
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     host.now += ms(40_000);
@@ -587,8 +593,8 @@
 #[test]
 fn one_set_up_to_a_cold_processor_not_used_when_due_is_kept_and_no_more() {
     let mut s = settings();
-    s.siblings = 40;
-    s.position = 39; // its turn comes first, as exchange 1 started
+    s.controller_count = 40;
+    s.controller_index = 39; // its turn comes first, as exchange 1 started
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     let now = host.now;
@@ -624,7 +630,7 @@
         [Action::Refuse { retry_after, .. }] => retry_after.expect("advice"),
         other => panic!("no refusal: {other:?}"),
     };
-    let mut host = Host::new(Settings { retry_after: ms(2000), ..settings() });
+    let mut host = Host::new(Settings { max_retry_after: ms(2000), ..settings() });
     for n in 1..4 {
         host.circuits(n, 0);
     }
--- a/tests/controller/invariants.rs
+++ b/tests/controller/invariants.rs
@@ -106,8 +106,8 @@
             owed.not_before = self.host.now + ms(500);
         }
         let end =
-            AttemptEnd { call, attempt: owed.attempts - 1, delay: ms(100), outcome, settled: false };
-        self.tell(Event::AttemptOver(end));
+            AttemptEnd { call, attempt: owed.attempts - 1, delay: ms(100), outcome, call_ended: false };
+        self.tell(Event::AttemptEnded(end));
     }
 
     fn pick(&self, n: u16, out: bool) -> Option<CallId> {
@@ -136,14 +136,14 @@
                     let owed = self.owed.get_mut(&call).expect("picked");
                     owed.standing = true;
                     let attempt = owed.attempts - 1;
-                    self.tell(Event::Stands { call, attempt, delay: ms(100) });
+                    self.tell(Event::Answered { call, attempt, delay: ms(100) });
                 }
             }
             4 | 5 => {
                 use Outcome::*;
                 let all = [
                     NoCircuit,
-                    TurnedBack,
+                    TandemRefused,
                     ProcessorFull(None),
                     TimedOut,
                     Reset,
@@ -159,7 +159,7 @@
             6 => {
                 if let Some(call) = self.pick(who, false) {
                     self.owed.remove(&call);
-                    self.tell(Event::CallerGone(call));
+                    self.tell(Event::CallerAbandoned(call));
                 }
             }
             7 if who % 8 == 7 => {
@@ -172,21 +172,21 @@
             7 => {
                 let phase = [Phase::InService, Phase::Draining, Phase::Gone][who as usize / 3 % 3];
                 self.in_service[number as usize] = phase == Phase::InService;
-                let ready_at = if who % 2 == 0 { self.host.now } else { Duration::ZERO };
-                self.host.change(number, phase, ready_at);
+                let started_at = if who % 2 == 0 { self.host.now } else { Duration::ZERO };
+                self.host.change(number, phase, started_at);
             }
             _ => self.host.circuits(number, u32::from(who % 7)),
         }
     }
 }
 
-fn odd_list(who: u16) -> List {
+fn odd_list(who: u16) -> ListUpdate {
     match who % 12 {
-        0 => List::Whole(vec![]),
-        1 => List::Change(vec![]),
-        2..=4 => List::Change(vec![entry(1, Phase::InService, Duration::MAX)]),
-        5 => List::Failed,
-        n => List::Change(vec![entry(u32::from(n % 4), Phase::InService, Duration::ZERO)]),
+        0 => ListUpdate::Full(vec![]),
+        1 => ListUpdate::Delta(vec![]),
+        2..=4 => ListUpdate::Delta(vec![entry(1, Phase::InService, Duration::MAX)]),
+        5 => ListUpdate::Failed,
+        n => ListUpdate::Delta(vec![entry(u32::from(n % 4), Phase::InService, Duration::ZERO)]),
     }
 }
 
@@ -221,7 +221,7 @@
 #[test]
 fn the_rules_hold_with_many_siblings_and_tenants_without_quota() {
     let mut many = settings();
-    many.siblings = 80;
+    many.controller_count = 80;
     many.tenant_quota = vec![0.0, 100.0];
     many.over_share_worth = 0.1;
     rules_hold(many);
@@ -240,7 +240,7 @@
                     attempt: u32::from(gap).wrapping_sub(3),
                     delay: Duration::MAX,
                     outcome: [Outcome::Ended, Outcome::TimedOut, Outcome::NumberBusy][who as usize % 3],
-                    settled: gap % 2 == 0,
+                    call_ended: gap % 2 == 0,
                 };
                 let mut new = host.new_call(u32::from(who));
                 new.call = call;
@@ -249,10 +249,10 @@
                 new.circuits = if who % 5 == 0 { u32::MAX } else { 1 };
                 new.destination = ExchangeNumber(u32::from(who % 5));
                 host.tell(match kind % 7 {
-                    0 => Event::Stands { call, attempt: u32::from(gap % 3), delay: Duration::MAX },
-                    1 => Event::AttemptOver(AttemptEnd { attempt: u32::from(gap % 2), ..end }),
-                    2 => Event::AttemptOver(end),
-                    3 => Event::CallerGone(call),
+                    0 => Event::Answered { call, attempt: u32::from(gap % 3), delay: Duration::MAX },
+                    1 => Event::AttemptEnded(AttemptEnd { attempt: u32::from(gap % 2), ..end }),
+                    2 => Event::AttemptEnded(end),
+                    3 => Event::CallerAbandoned(call),
                     4 => Event::Timer(TimerId(u64::from(who % 30))),
                     5 => Event::List(odd_list(who)),
                     _ => Event::Call(new),
--- a/tests/controller/rules.rs
+++ b/tests/controller/rules.rs
@@ -47,7 +47,7 @@
     assert_eq!(sent_to(&host.tell(Event::Call(new))), Some(far(1)));
     host.now += ms(1500);
     assert!(refused(&host.over(call, 0, Outcome::TimedOut)));
-    assert!(host.tell(Event::CallerGone(call)).is_empty());
+    assert!(host.tell(Event::CallerAbandoned(call)).is_empty());
 }
 
 #[test]
@@ -75,7 +75,7 @@
 fn one_missing_from_a_whole_list_is_gone() {
     let mut host = Host::new(settings());
     let list = [0, 2, 3].map(|n| entry(n, Phase::InService, Duration::ZERO));
-    host.tell(Event::List(List::Whole(list.to_vec())));
+    host.tell(Event::List(ListUpdate::Full(list.to_vec())));
     assert!(refused(&host.call(1).1));
 }
 
@@ -119,8 +119,8 @@
 }
 
 impl Pressed {
-    fn new(siblings: u32, position: u32) -> Self {
-        let mut host = Host::new(Settings { siblings, position, ..settings() });
+    fn new(controller_count: u32, controller_index: u32) -> Self {
+        let mut host = Host::new(Settings { controller_count, controller_index, ..settings() });
         host.answer_calls(2, 100, ms(50), ms(50));
         Pressed { host, timers: vec![], answers: vec![] }
     }
@@ -162,7 +162,8 @@
         let (due, later) = self.answers.drain(..).partition(|(at, _)| *at <= now);
         self.answers = later;
         let due: Vec<(Duration, CallId)> = due;
-        let stand = due.into_iter().map(|(_, call)| Event::Stands { call, attempt: 0, delay: ms(100) });
+        let stand =
+            due.into_iter().map(|(_, call)| Event::Answered { call, attempt: 0, delay: ms(100) });
         sends + stand.map(|event| self.tell(event)).sum::<usize>()
     }
 }
@@ -177,7 +178,7 @@
     {
         let mut all: Vec<_> = (0..siblings).map(|n| Pressed::new(siblings, n)).collect();
         let rules = settings().rules;
-        let most = (rules.fall_multiple * rules.cold_from * 25.0).floor() as usize;
+        let most = (rules.overload_multiple * rules.cold_capacity_ratio * 25.0).floor() as usize;
         // Overload: thirty calls a second for exchange 1 while it is out of service, ten others.
         let call = |t: u64| match t % 10 {
             0 | 3 | 6 => Some(1),
@@ -192,14 +193,14 @@
         }
         let start = all[0].host.now;
         all.iter_mut().for_each(|p| p.host.change(1, Phase::InService, start));
-        let steps = rules.cold_time.as_millis() as u64 / 10 - 1;
+        let steps = rules.warm_up_time.as_millis() as u64 / 10 - 1;
         let sent: Vec<usize> = (0..steps)
             .map(|t| {
                 let call = call(t).filter(|to| *to == 1);
                 all.iter_mut().map(|p| p.step(call, origin)).sum()
             })
             .collect();
-        let window = rules.fall_window.as_millis() as usize / 10;
+        let window = rules.overload_window.as_millis() as usize / 10;
         let worst = sent.windows(window).map(|w| w.iter().sum::<usize>()).max().unwrap_or(0);
         assert!(worst <= most, "{siblings} siblings sent {worst} set-ups in a window, {most} at most");
         assert!(sent.iter().sum::<usize>() > 14 * most / 4, "{siblings} siblings leave it idle");
@@ -234,17 +235,17 @@
     };
     assert_eq!(named(|_| {}), None);
     assert_eq!(named(|s| s.classes.clear()), Some("classes"));
-    assert_eq!(named(|s| s.siblings = 0), Some("siblings"));
-    assert_eq!(named(|s| s.attempts = 0), Some("attempts"));
-    assert_eq!(named(|s| s.rules.cold_from = f64::NAN), Some("rules.cold_from"));
-    assert_eq!(named(|s| s.rules.fall_multiple = 0.0), Some("rules.fall_multiple"));
+    assert_eq!(named(|s| s.controller_count = 0), Some("siblings"));
+    assert_eq!(named(|s| s.max_attempts = 0), Some("attempts"));
+    assert_eq!(named(|s| s.rules.cold_capacity_ratio = f64::NAN), Some("rules.cold_from"));
+    assert_eq!(named(|s| s.rules.overload_multiple = 0.0), Some("rules.fall_multiple"));
     assert_eq!(named(|s| s.classes[0].late_worth = 2.0), Some("classes.worth"));
 }
 
 #[test]
 fn a_set_up_that_may_have_run_is_neither_repeated_nor_refused_where_effects_last() {
     let mut s = settings();
-    s.classes[0].effect = Effect::SideEffect;
+    s.classes[0].idempotency = Idempotency::NonIdempotent;
     let mut host = Host::new(s);
     host.circuits(1, 0);
     let (call, actions) = host.call(1);
@@ -263,7 +264,7 @@
 #[test]
 fn pools_serve_only_their_classes_and_take_calls_from_everywhere() {
     let mut s = settings();
-    s.layout = Layout::Pools;
+    s.topology = Topology::Pools;
     s.classes[0].pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
     let mut host = Host::new(s);
     assert_eq!(sent_to(&host.call(1).1), Some(far(1)));
@@ -280,7 +281,7 @@
     controller.handle(ms(0), Event::Started, &mut actions);
     assert_eq!(actions, [Action::Subscribe]);
     actions.clear();
-    controller.handle(ms(10), Event::List(List::Failed), &mut actions);
+    controller.handle(ms(10), Event::List(ListUpdate::Failed), &mut actions);
     let (wake, after) = timer(&actions).expect("asked again later");
     assert!(after >= ms(1000));
     actions.clear();
