--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -39,8 +39,8 @@
 }
 
 impl Limits {
-    /// Number of client connections from which on idle ones are closed for new ones. Callers hold a third of the descriptors at
-    /// most; the rest of this half is for those that are not callers.
+    /// Number of client connections from which on idle ones are closed for new ones. Callers hold a third
+    /// of the descriptors at most; the rest of this half is for those that are not callers.
     pub fn idle_clients_from(&self) -> usize {
         self.sockets / 2
     }
@@ -50,8 +50,8 @@
         self.sockets * 5 / 8
     }
 
-    /// Number of connections to one exchange. A spoilt answer costs all set-ups on its connection, so there are several;
-    /// more than four get no reports.
+    /// Number of connections to one exchange. A spoilt answer costs all set-ups on its connection, so there are
+    /// several; more than four get no reports.
     pub fn connections_per_exchange(&self) -> usize {
         (self.sockets / 64).clamp(1, 4)
     }
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -60,8 +60,8 @@
 }
 
 impl FailureSign {
-    /// The failure sign that the end of a dial amounts to, if any. What this side ended or had no socket for shows nothing, and one that
-    /// was reset while new shows that somebody is there.
+    /// The failure sign that the end of a dial amounts to, if any. What this side ended or had no socket for
+    /// shows nothing, and one that was reset while new shows that somebody is there.
     pub fn from_dial(end: EndReason) -> Option<Self> {
         matches!(end, EndReason::ConnectionRefused | EndReason::DialTimedOut)
             .then_some(FailureSign::DialFailed)
