--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -1,8 +1,8 @@
-//! What the engine wants of the SIP front: set-ups, answers and ends of calls, each on the leg that it is for.
+//! Commands of the engine to the SIP front: set-ups, answers and releases, each carried out on its leg.
 
 use super::dialog::Dialog;
 use super::message;
-use super::{Leg, Party, Sip, SipDue, State, ALLOW};
+use super::{Leg, LegState, Party, Sip, SipDue, ALLOW};
 use crate::arena::Token;
 use crate::end::EndReason;
 use crate::engine::{AttemptToken, CallInfo, Command};
@@ -14,224 +14,286 @@
 
 impl Sip {
     /// Carries out a command of the engine.
-    pub fn command(&mut self, command: Command, number: Option<ExchangeNumber>, cx: &mut Context) {
+    pub fn command(
+        &mut self,
+        command: Command,
+        exchange_number: Option<ExchangeNumber>,
+        cx: &mut Context,
+    ) {
         match command {
-            Command::SetUp { attempt, info, wait, .. } => self.set_up(attempt, &info, wait, number, cx),
+            Command::SetUp { attempt, info, wait, .. } => {
+                self.send_invite(attempt, &info, wait, exchange_number, cx)
+            }
             Command::CancelAttempt(attempt) => {
-                if let Some(leg) = self.by_attempt.get(&attempt).copied() {
-                    self.over(leg, cx);
-                    self.send_cancel(leg, cx.now);
+                if let Some(leg_token) = self.legs_by_attempt.get(&attempt).copied() {
+                    self.terminate_leg(leg_token, cx);
+                    self.send_cancel(leg_token, cx.now);
                 }
             }
             Command::ReleaseExchange(attempt, _) | Command::ForgetAttempt(attempt) => {
-                if let Some(leg) = self.by_attempt.get(&attempt).copied() {
-                    self.say_bye(leg, cx);
+                if let Some(leg_token) = self.legs_by_attempt.get(&attempt).copied() {
+                    self.send_bye(leg_token, cx);
                 }
             }
             Command::Answer(call, description) => {
-                if let Some(leg) = self.by_call.get(&call).copied() {
-                    self.answer(leg, &description, cx);
+                if let Some(leg_token) = self.legs_by_call.get(&call).copied() {
+                    self.answer_caller(leg_token, &description, cx);
                 }
             }
-            Command::Refuse(call, stay) => {
-                // Whole seconds are all that Retry-After has; rounded up, so that nobody is back early.
-                let seconds = stay.map(|s| s.as_millis().div_ceil(1000).to_string());
-                let more: Vec<_> = seconds.iter().map(|s| ("Retry-After", s.as_str())).collect();
-                if let Some(leg) = self.by_call.get(&call).copied() {
-                    self.final_answer(leg, 503, &more, "", cx);
+            Command::Refuse(call, retry_after) => {
+                // Retry-After has whole seconds. They are rounded up, so that no caller retries too early.
+                let retry_after_secs =
+                    retry_after.map(|wait| wait.as_millis().div_ceil(1000).to_string());
+                let extra_headers: Vec<_> =
+                    retry_after_secs.iter().map(|secs| ("Retry-After", secs.as_str())).collect();
+                if let Some(leg_token) = self.legs_by_call.get(&call).copied() {
+                    self.send_failure_response(leg_token, 503, &extra_headers, "", cx);
                 }
             }
             Command::Fail(call) => {
-                if let Some(leg) = self.by_call.get(&call).copied() {
-                    self.final_answer(leg, 500, &[], "", cx);
+                if let Some(leg_token) = self.legs_by_call.get(&call).copied() {
+                    self.send_failure_response(leg_token, 500, &[], "", cx);
                 }
             }
             Command::ReleaseCaller(call, _) => {
-                if let Some(leg) = self.by_call.get(&call).copied() {
-                    match self.legs.get_mut(leg) {
-                        // BYE may not overtake the ACK (RFC 3261, section 15).
-                        Some(l) if l.state == State::Answered => l.bye_waits = true,
-                        _ => self.say_bye(leg, cx),
+                if let Some(leg_token) = self.legs_by_call.get(&call).copied() {
+                    match self.legs.get_mut(leg_token) {
+                        // A BYE must not be sent before the ACK has arrived (RFC 3261, section 15).
+                        Some(leg) if leg.state == LegState::AwaitingAck => leg.bye_after_ack = true,
+                        _ => self.send_bye(leg_token, cx),
                     }
                 }
             }
         }
-        self.send_all(cx);
+        self.process_output(cx);
     }
 
-    pub(super) fn set_up(
+    /// Sends the INVITE of a new attempt to its exchange.
+    pub(super) fn send_invite(
         &mut self,
         attempt: AttemptToken,
         info: &CallInfo,
         wait: Duration,
-        number: Option<ExchangeNumber>,
+        exchange_number: Option<ExchangeNumber>,
         cx: &mut Context,
     ) {
-        let Some(target) = number.and_then(|n| self.config.exchanges.get(&n).copied()) else {
+        let Some(next_hop) = exchange_number.and_then(|n| self.config.exchanges.get(&n).copied()) else {
             return cx.engine.attempt_ended(cx.now, attempt, EndReason::NotSent, cx.timers);
         };
-        let (via, branch) = self.via(target.protocol);
-        let (tag, call_id, own) = (self.unique(), self.unique(), self.own(target.protocol));
-        let contact = self.contact(target.protocol);
-        let uri = format!("sip:{}@{}", info.key, target.addr);
+        let (via, branch) = self.new_via(next_hop.protocol);
+        let (local_tag, call_id, local_address) =
+            (self.random_id(), self.random_id(), self.local_address(next_hop.protocol));
+        let contact = self.local_contact(next_hop.protocol);
+        let uri = format!("sip:{}@{}", info.key, next_hop.addr);
         let dialog = Dialog {
-            call_id: format!("{call_id}@{own}"),
-            local: format!("<sip:{own}>;tag={tag}"),
-            local_tag: tag.clone(),
+            call_id: format!("{call_id}@{local_address}"),
+            local_party: format!("<sip:{local_address}>;tag={local_tag}"),
+            local_tag: local_tag.clone(),
             remote_tag: String::new(),
-            remote: format!("<{uri}>"),
+            remote_party: format!("<{uri}>"),
             remote_target: uri.clone(),
-            routes: Vec::new(),
-            local_seq: 1,
-            remote_seq: 0,
-            target,
+            route_set: Vec::new(),
+            local_cseq: 1,
+            remote_cseq: 0,
+            next_hop,
         };
-        let seconds = wait.as_millis().div_ceil(1000).max(1).to_string();
+        let expires_secs = wait.as_millis().div_ceil(1000).max(1).to_string();
         let headers = [
             ("Via", via.as_str()),
             ("Max-Forwards", "70"),
-            ("From", &dialog.local),
-            ("To", &dialog.remote),
+            ("From", &dialog.local_party),
+            ("To", &dialog.remote_party),
             ("Call-ID", &dialog.call_id),
             ("CSeq", "1 INVITE"),
             ("Contact", &contact),
             ("Allow", ALLOW),
-            ("Expires", &seconds),
+            ("Expires", &expires_secs),
             ("X-Class", &info.class),
         ];
         let bytes = message::request("INVITE", &uri, &headers, &info.description);
-        let sent = Rc::new(dialog.sent(&uri, &via));
-        let to = (target, Some(Rc::clone(&sent)));
-        let tx = self.transactions.request(cx.now, "INVITE", &branch, bytes, to, &mut self.output);
+        let sent_invite = Rc::new(dialog.sent_invite(&uri, &via));
+        let destination = (next_hop, Some(Rc::clone(&sent_invite)));
+        let transaction = self.transactions.request(
+            cx.now,
+            "INVITE",
+            &branch,
+            bytes,
+            destination,
+            &mut self.pending_output,
+        );
         cx.engine.count_forwards(1);
-        let key = (dialog.call_id.clone(), tag);
-        let leg = self.legs.insert(Leg {
+        let dialog_key = (dialog.call_id.clone(), local_tag);
+        let leg_token = self.legs.insert(Leg {
             party: Party::Exchange(attempt),
-            state: State::Ringing,
+            state: LegState::Pending,
             dialog,
-            invite: tx,
-            headers: Headers::new(),
-            sent: Some(sent),
-            cancelled: false,
-            again: Rc::from([]),
-            interval: self.config.times.t1,
-            since: cx.now,
-            checked: cx.now,
-            bye_waits: false,
+            invite_transaction: transaction,
+            invite_headers: Headers::new(),
+            sent_invite: Some(sent_invite),
+            cancel_sent: false,
+            retransmission: Rc::from([]),
+            retransmit_interval: self.config.times.t1,
+            state_changed_at: cx.now,
+            last_checked_at: cx.now,
+            bye_after_ack: false,
         });
-        self.by_attempt.insert(attempt, leg);
-        self.by_dialog.insert(key, leg);
-        self.by_invite.insert(tx, leg);
+        self.legs_by_attempt.insert(attempt, leg_token);
+        self.legs_by_dialog.insert(dialog_key, leg_token);
+        self.legs_by_invite.insert(transaction, leg_token);
     }
 
-    /// Cancels the INVITE of a leg; not before a provisional response (RFC 3261, section 9.1).
-    pub(super) fn send_cancel(&mut self, leg: Token, now: Duration) {
-        let Some(l) = self.legs.get_mut(leg) else {
+    /// Stops the retransmission of a leg's INVITE and cancels it. A CANCEL must not be sent before a provisional
+    /// response (RFC 3261, section 9.1); this is called again when one arrives.
+    pub(super) fn send_cancel(&mut self, leg_token: Token, now: Duration) {
+        let Some(leg) = self.legs.get_mut(leg_token) else {
             return;
         };
-        self.transactions.hush(l.invite);
-        let Some(sent) =
-            l.sent.clone().filter(|_| !l.cancelled && self.transactions.is_proceeding(l.invite))
+        self.transactions.hush(leg.invite_transaction);
+        let Some(sent_invite) = leg
+            .sent_invite
+            .clone()
+            .filter(|_| !leg.cancel_sent && self.transactions.is_proceeding(leg.invite_transaction))
         else {
             return;
         };
-        l.cancelled = true;
-        let branch = sent.via.rsplit_once("branch=").map_or("", |(_, b)| b);
-        let (bytes, to) = (sent.follow_up("CANCEL", &sent.to), (l.dialog.target, None));
-        self.transactions.request(now, "CANCEL", branch, bytes, to, &mut self.output);
+        leg.cancel_sent = true;
+        let branch = sent_invite.via.rsplit_once("branch=").map_or("", |(_, branch)| branch);
+        let (bytes, destination) =
+            (sent_invite.follow_up("CANCEL", &sent_invite.to), (leg.dialog.next_hop, None));
+        self.transactions.request(now, "CANCEL", branch, bytes, destination, &mut self.pending_output);
     }
 
-    /// The final answer of a caller's leg that does not stand.
-    pub(super) fn final_answer(
+    /// Sends a non-2xx final response on a caller's leg and terminates the leg.
+    pub(super) fn send_failure_response(
         &mut self,
-        leg: Token,
+        leg_token: Token,
         status: u16,
-        more: &[(&str, &str)],
+        extra_headers: &[(&str, &str)],
         body: &str,
         cx: &mut Context,
     ) {
-        if let Some(l) = self.legs.get(leg) {
-            let bytes = message::response(&l.headers, status, &l.dialog.local_tag, more, body);
-            self.transactions.respond(cx.now, l.invite, status, bytes, &mut self.output);
-            self.over(leg, cx);
+        if let Some(leg) = self.legs.get(leg_token) {
+            let bytes = message::response(
+                &leg.invite_headers,
+                status,
+                &leg.dialog.local_tag,
+                extra_headers,
+                body,
+            );
+            self.transactions.respond(
+                cx.now,
+                leg.invite_transaction,
+                status,
+                bytes,
+                &mut self.pending_output,
+            );
+            self.terminate_leg(leg_token, cx);
         }
     }
 
-    /// The call stands: a 2xx, sent again until its ACK comes.
-    pub(super) fn answer(&mut self, leg: Token, description: &str, cx: &mut Context) {
-        let Some(protocol) = self.legs.get(leg).map(|l| l.dialog.target.protocol) else {
+    /// Answers a caller with a 200, which is retransmitted until its ACK arrives.
+    pub(super) fn answer_caller(&mut self, leg_token: Token, description: &str, cx: &mut Context) {
+        let Some(protocol) = self.legs.get(leg_token).map(|leg| leg.dialog.next_hop.protocol) else {
             return;
         };
-        let contact = self.contact(protocol);
-        if let Some(l) = self.legs.get_mut(leg) {
-            let more = [("Contact", contact.as_str()), ("Allow", ALLOW)];
-            let bytes = message::response(&l.headers, 200, &l.dialog.local_tag, &more, description);
-            l.again = Rc::from(bytes.as_slice());
-            l.state = State::Answered;
-            l.since = cx.now;
-            cx.timers.schedule(cx.now + l.interval, TimerEvent::Sip(SipDue::AnswerAgain(leg)));
-            self.transactions.respond(cx.now, l.invite, 200, bytes, &mut self.output);
+        let contact = self.local_contact(protocol);
+        if let Some(leg) = self.legs.get_mut(leg_token) {
+            let extra_headers = [("Contact", contact.as_str()), ("Allow", ALLOW)];
+            let bytes = message::response(
+                &leg.invite_headers,
+                200,
+                &leg.dialog.local_tag,
+                &extra_headers,
+                description,
+            );
+            leg.retransmission = Rc::from(bytes.as_slice());
+            leg.state = LegState::AwaitingAck;
+            leg.state_changed_at = cx.now;
+            cx.timers.schedule(
+                cx.now + leg.retransmit_interval,
+                TimerEvent::Sip(SipDue::RetransmitAnswer(leg_token)),
+            );
+            self.transactions.respond(
+                cx.now,
+                leg.invite_transaction,
+                200,
+                bytes,
+                &mut self.pending_output,
+            );
         }
     }
 
-    pub(super) fn answer_again(&mut self, leg: Token, cx: &mut Context) {
+    /// Retransmits the 200 on a caller's leg, or releases the call if the ACK has not arrived in time.
+    pub(super) fn retransmit_answer(&mut self, leg_token: Token, cx: &mut Context) {
         let times = self.config.times;
-        let Some(l) = self.legs.get_mut(leg).filter(|l| l.state == State::Answered) else {
+        let Some(leg) = self.legs.get_mut(leg_token).filter(|leg| leg.state == LegState::AwaitingAck)
+        else {
             return;
         };
-        if cx.now >= l.since + times.transaction() {
-            // Nobody has acknowledged: the call is ended on both sides (section 13.3.1.4).
-            let party = l.party;
-            self.say_bye(leg, cx);
+        if cx.now >= leg.state_changed_at + times.transaction_timeout() {
+            // No ACK has arrived: the call is released on both legs (RFC 3261, section 13.3.1.4).
+            let party = leg.party;
+            self.send_bye(leg_token, cx);
             if let Party::Caller(call) = party {
-                cx.log.line(cx.now, "sip-no-ack", "an answered call was never acknowledged");
+                cx.log.line(cx.now, "sip-no-ack", "no ACK for the 200 of an answered call");
                 cx.engine.caller_ended(cx.now, call, cx.timers);
             }
             return;
         }
-        l.interval = (l.interval * 2).min(times.t2);
-        cx.timers.schedule(cx.now + l.interval, TimerEvent::Sip(SipDue::AnswerAgain(leg)));
-        let (target, bytes) = (l.dialog.target, Rc::clone(&l.again));
-        let _ = self.transport.send(target, &bytes, cx);
+        leg.retransmit_interval = (leg.retransmit_interval * 2).min(times.t2);
+        cx.timers.schedule(
+            cx.now + leg.retransmit_interval,
+            TimerEvent::Sip(SipDue::RetransmitAnswer(leg_token)),
+        );
+        let (next_hop, bytes) = (leg.dialog.next_hop, Rc::clone(&leg.retransmission));
+        let _ = self.transport.send(next_hop, &bytes, cx);
     }
 
-    /// Ends a dialog from this side.
-    pub(super) fn say_bye(&mut self, leg: Token, cx: &mut Context) {
-        let Some(protocol) = self.legs.get(leg).map(|l| l.dialog.target.protocol) else {
+    /// Sends a BYE on a leg and terminates the leg.
+    pub(super) fn send_bye(&mut self, leg_token: Token, cx: &mut Context) {
+        let Some(protocol) = self.legs.get(leg_token).map(|leg| leg.dialog.next_hop.protocol) else {
             return;
         };
-        let ((via, branch), contact) = (self.via(protocol), self.contact(protocol));
-        if let Some(l) = self.legs.get_mut(leg) {
-            let bye = l.dialog.request("BYE", &via, &contact);
-            let to = (l.dialog.target, None);
-            self.transactions.request(cx.now, "BYE", &branch, bye, to, &mut self.output);
+        let ((via, branch), contact) = (self.new_via(protocol), self.local_contact(protocol));
+        if let Some(leg) = self.legs.get_mut(leg_token) {
+            let bye = leg.dialog.request("BYE", &via, &contact);
+            let destination = (leg.dialog.next_hop, None);
+            self.transactions.request(
+                cx.now,
+                "BYE",
+                &branch,
+                bye,
+                destination,
+                &mut self.pending_output,
+            );
         }
-        self.over(leg, cx);
+        self.terminate_leg(leg_token, cx);
     }
 
-    /// A leg is over. It is known for as long as something may still come for it.
-    pub(super) fn over(&mut self, leg: Token, cx: &mut Context) {
-        let Some(l) = self.legs.get_mut(leg) else {
+    /// Terminates a leg. Its state is kept for as long as messages for it may still arrive.
+    pub(super) fn terminate_leg(&mut self, leg_token: Token, cx: &mut Context) {
+        let Some(leg) = self.legs.get_mut(leg_token) else {
             return;
         };
-        match l.party {
-            Party::Caller(call) => drop(self.by_call.remove(&call)),
-            Party::Exchange(attempt) => drop(self.by_attempt.remove(&attempt)),
+        match leg.party {
+            Party::Caller(call) => drop(self.legs_by_call.remove(&call)),
+            Party::Exchange(attempt) => drop(self.legs_by_attempt.remove(&attempt)),
         }
-        if l.state != State::Over {
-            l.state = State::Over;
-            l.since = cx.now;
-            let until = cx.now + self.config.times.transaction() + self.config.times.t4;
-            cx.timers.schedule(until, TimerEvent::Sip(SipDue::Forget(leg)));
+        if leg.state != LegState::Terminated {
+            leg.state = LegState::Terminated;
+            leg.state_changed_at = cx.now;
+            let remove_at = cx.now + self.config.times.transaction_timeout() + self.config.times.t4;
+            cx.timers.schedule(remove_at, TimerEvent::Sip(SipDue::RemoveLeg(leg_token)));
         }
     }
 
-    pub(super) fn forget(&mut self, leg: Token) {
-        if let Some(l) = self.legs.remove(leg) {
-            self.by_dialog.remove(&(l.dialog.call_id, l.dialog.local_tag));
-            self.by_invite.remove(&l.invite);
-            // An INVITE that was cancelled and never answered waits for nothing any more.
-            self.transactions.terminate(l.invite);
+    /// Removes the state of a terminated leg.
+    pub(super) fn remove_leg(&mut self, leg_token: Token) {
+        if let Some(leg) = self.legs.remove(leg_token) {
+            self.legs_by_dialog.remove(&(leg.dialog.call_id, leg.dialog.local_tag));
+            self.legs_by_invite.remove(&leg.invite_transaction);
+            // A cancelled INVITE that never got a final response has no timer left that ends its transaction.
+            self.transactions.terminate(leg.invite_transaction);
         }
     }
 }
--- a/node/src/net/sip/dialog.rs
+++ b/node/src/net/sip/dialog.rs
@@ -1,4 +1,4 @@
-//! Dialogs (RFC 3261, section 12): what requests within a call carry, from either side.
+//! Dialogs (RFC 3261, section 12): the state from which requests within a call are built, as UAC and as UAS.
 
 use super::message::{self, Message};
 use super::transaction::{Sent, Target};
@@ -9,33 +9,33 @@
 use ezk_sip_types::Name;
 use std::net::{IpAddr, SocketAddr};
 
-/// One side's view of a dialog.
+/// The state of a dialog on this side.
 #[derive(Clone, Debug)]
 pub struct Dialog {
     /// The Call-ID.
     pub call_id: String,
-    /// The own tag.
+    /// The local tag.
     pub local_tag: String,
-    /// The peer's tag, once known.
+    /// The remote tag; empty until it is known.
     pub remote_tag: String,
-    /// From and To as this side writes them, tags included.
-    pub local: String,
-    /// From and To as this side writes them, tags included.
-    pub remote: String,
-    /// Where requests go.
+    /// The From header field of requests that this side sends, with its tag.
+    pub local_party: String,
+    /// The To header field of requests that this side sends, with its tag if known.
+    pub remote_party: String,
+    /// The remote target: the request URI of requests within the dialog.
     pub remote_target: String,
-    /// The route set.
-    pub routes: Vec<String>,
-    /// CSeq numbers of either side.
-    pub local_seq: u32,
-    /// CSeq numbers of either side.
-    pub remote_seq: u32,
-    /// The next hop.
-    pub target: Target,
+    /// The route set, as the values of the Route header fields.
+    pub route_set: Vec<String>,
+    /// The local sequence number (CSeq).
+    pub local_cseq: u32,
+    /// The remote sequence number (CSeq).
+    pub remote_cseq: u32,
+    /// Where requests within the dialog are sent.
+    pub next_hop: Target,
 }
 
-/// The address that a URI names, where it names one without DNS.
-pub fn address(uri: &SipUri) -> Option<SocketAddr> {
+/// The socket address of a URI; `None` if its host is a name, since no DNS lookup is made.
+pub fn socket_addr(uri: &SipUri) -> Option<SocketAddr> {
     let ip = match uri.host_port.host {
         Host::IP4(ip) => IpAddr::V4(ip),
         Host::IP6(ip) => IpAddr::V6(ip),
@@ -45,73 +45,79 @@
 }
 
 impl Dialog {
-    /// The called side's view, from the INVITE that it was sent.
-    pub fn called(invite: &Message, local_tag: &str, source: Target) -> Self {
-        let raw = |name| invite.header(name).unwrap_or_default().to_owned();
+    /// The dialog on the UAS side, from the INVITE received.
+    pub fn for_uas(invite: &Message, local_tag: &str, source: Target) -> Self {
+        let header_text = |name| invite.header(name).unwrap_or_default().to_owned();
         let mut dialog = Dialog {
             call_id: invite.call_id.clone(),
             local_tag: local_tag.to_owned(),
             remote_tag: invite.from.tag.as_ref().map_or(String::new(), |t| t.to_string()),
-            local: format!("{};tag={local_tag}", raw(Name::TO)),
-            remote: raw(Name::FROM),
-            remote_target: message::uri(&invite.from.uri.uri),
-            routes: Vec::new(),
-            local_seq: 0,
-            remote_seq: invite.cseq.cseq,
-            target: source,
+            local_party: format!("{};tag={local_tag}", header_text(Name::TO)),
+            remote_party: header_text(Name::FROM),
+            remote_target: message::format_uri(&invite.from.uri.uri),
+            route_set: Vec::new(),
+            local_cseq: 0,
+            remote_cseq: invite.cseq.cseq,
+            next_hop: source,
         };
-        dialog.retarget(invite, false);
+        dialog.update_target(invite, false);
         dialog
     }
 
-    /// The calling side learns the rest from the response that answers its INVITE.
-    pub fn answered(&mut self, response: &Message) {
+    /// Completes the dialog on the UAC side from the 2xx response to its INVITE.
+    pub fn update_from_answer(&mut self, response: &Message) {
         self.remote_tag = response.to.tag.as_ref().map_or(String::new(), |t| t.to_string());
-        self.remote = response.header(Name::TO).unwrap_or_default().to_owned();
-        self.retarget(response, true);
+        self.remote_party = response.header(Name::TO).unwrap_or_default().to_owned();
+        self.update_target(response, true);
     }
 
-    /// Takes over the Contact and the route set; the calling side has that in reverse. The next hop is the
-    /// first route, else the Contact, where that names an address.
-    fn retarget(&mut self, m: &Message, calling: bool) {
-        let mut routes: Vec<Routing> = m.headers.get(Name::RECORD_ROUTE).unwrap_or_default();
-        if calling {
+    /// Sets the remote target from Contact and the route set from Record-Route; the UAC reverses the order of the
+    /// latter. The next hop is the first route, or Contact if there is none; it stays unchanged if that URI
+    /// contains a host name instead of an IP address.
+    fn update_target(&mut self, message: &Message, is_uac: bool) {
+        let mut routes: Vec<Routing> = message.headers.get(Name::RECORD_ROUTE).unwrap_or_default();
+        if is_uac {
             routes.reverse();
         }
-        let contact = m.contact();
-        let next = routes.first().map(|r| &r.uri.uri).or(contact.as_ref());
-        if let Some(addr) = next.and_then(address) {
-            self.target.addr = addr;
+        let contact = message.contact();
+        let next_hop_uri = routes.first().map(|r| &r.uri.uri).or(contact.as_ref());
+        if let Some(addr) = next_hop_uri.and_then(socket_addr) {
+            self.next_hop.addr = addr;
         }
         if let Some(contact) = &contact {
-            self.remote_target = message::uri(contact);
+            self.remote_target = message::format_uri(contact);
         }
-        self.routes = routes.iter().map(|r| r.default_print_ctx().to_string()).collect();
+        self.route_set = routes.iter().map(|r| r.default_print_ctx().to_string()).collect();
     }
 
-    /// Writes a request within the dialog. ACK takes the number of its INVITE, all others the next.
+    /// Writes a request within the dialog. An ACK has the sequence number of its INVITE; any other request has the
+    /// next one.
     pub fn request(&mut self, method: &str, via: &str, contact: &str) -> Vec<u8> {
         if method != "ACK" {
-            self.local_seq += 1;
+            self.local_cseq += 1;
         }
-        let cseq = format!("{} {method}", self.local_seq);
-        let mut headers = vec![("Via", via), ("Max-Forwards", "70"), ("From", &self.local)];
-        headers.extend([("To", self.remote.as_str()), ("Call-ID", &self.call_id), ("CSeq", &cseq)]);
+        let cseq = format!("{} {method}", self.local_cseq);
+        let mut headers = vec![("Via", via), ("Max-Forwards", "70"), ("From", &self.local_party)];
+        headers.extend([
+            ("To", self.remote_party.as_str()),
+            ("Call-ID", &self.call_id),
+            ("CSeq", &cseq),
+        ]);
         headers.push(("Contact", contact));
-        headers.extend(self.routes.iter().map(|r| ("Route", r.as_str())));
+        headers.extend(self.route_set.iter().map(|r| ("Route", r.as_str())));
         message::request(method, &self.remote_target, &headers, "")
     }
 
-    /// What the ACK of a refusal and the CANCEL of this dialog's INVITE repeat.
-    pub fn sent(&self, uri: &str, via: &str) -> Sent {
+    /// The parts of this dialog's INVITE that its CANCEL and the ACK of a non-2xx final response repeat.
+    pub fn sent_invite(&self, uri: &str, via: &str) -> Sent {
         Sent {
             uri: uri.to_owned(),
             via: via.to_owned(),
-            from: self.local.clone(),
-            to: self.remote.clone(),
+            from: self.local_party.clone(),
+            to: self.remote_party.clone(),
             call_id: self.call_id.clone(),
-            cseq: self.local_seq,
-            routes: self.routes.clone(),
+            cseq: self.local_cseq,
+            routes: self.route_set.clone(),
         }
     }
 }
--- a/node/src/net/sip/incoming.rs
+++ b/node/src/net/sip/incoming.rs
@@ -1,9 +1,9 @@
-//! What comes in over SIP: requests of callers and exchanges, and the exchanges' responses.
+//! Received SIP messages: requests of callers and exchanges, and responses of exchanges.
 
 use super::dialog::Dialog;
 use super::message::{self, Message};
 use super::transaction::{Taken, Target};
-use super::{Leg, Party, Sip, State, ALLOW};
+use super::{Leg, LegState, Party, Sip, ALLOW};
 use crate::arena::Token;
 use crate::config::{SipConfig, SipNumber};
 use crate::end::EndReason;
@@ -15,43 +15,56 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait that an exchange is believed to have: beyond it, it would stay shut by one wrong header.
-const MOST_TOLD: Duration = Duration::from_secs(32);
-/// Seconds after which there may be room again for another transaction.
-const FULL_FOR: &str = "5";
+/// Upper limit for the Retry-After of an exchange. Without it, one wrong header value would keep the exchange out
+/// of use for as long as it says.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(32);
+/// Retry-After, in seconds, sent when the limit of transactions or legs is reached: by then some may have ended.
+const FULL_RETRY_AFTER_SECS: &str = "5";
 
 impl Sip {
-    pub(super) fn request(&mut self, m: Message, method: Method, source: Target, cx: &mut Context) {
-        match self.transactions.take_request(cx.now, &m, &method, source, &mut self.output) {
-            Taken::Request(tx) => {
-                let respond = |sip: &mut Self, status, more: &[(&str, &str)]| {
-                    sip.respond(tx, &m.headers, status, more, cx.now);
+    /// Handles a received request.
+    pub(super) fn handle_request(
+        &mut self,
+        request: Message,
+        method: Method,
+        source: Target,
+        cx: &mut Context,
+    ) {
+        match self.transactions.take_request(cx.now, &request, &method, source, &mut self.pending_output)
+        {
+            Taken::Request(transaction) => {
+                let respond = |sip: &mut Self, status, extra_headers: &[(&str, &str)]| {
+                    sip.respond(transaction, &request.headers, status, extra_headers, cx.now);
                 };
-                let to_tag = m.to.tag.as_ref().map(|t| t.to_string());
-                let leg = to_tag.and_then(|tag| self.by_dialog.get(&(m.call_id.clone(), tag)).copied());
-                let from_tag = m.from.tag.as_ref().map_or("", |t| t);
-                let its_peer =
-                    |leg: &Token| self.legs.get(*leg).is_some_and(|l| l.dialog.remote_tag == from_tag);
-                let leg = leg.filter(its_peer);
-                let in_dialog = m.to.tag.is_some();
-                if m.header(Name::MAX_FORWARDS).is_some_and(|h| h == "0") {
+                let to_tag = request.to.tag.as_ref().map(|t| t.to_string());
+                let leg_token = to_tag
+                    .and_then(|tag| self.legs_by_dialog.get(&(request.call_id.clone(), tag)).copied());
+                let from_tag = request.from.tag.as_ref().map_or("", |t| t);
+                let is_from_peer = |token: &Token| {
+                    self.legs.get(*token).is_some_and(|leg| leg.dialog.remote_tag == from_tag)
+                };
+                let leg_token = leg_token.filter(is_from_peer);
+                let has_to_tag = request.to.tag.is_some();
+                if request.header(Name::MAX_FORWARDS).is_some_and(|h| h == "0") {
                     respond(self, 483, &[]);
-                } else if let Some(wanted) = m.header(Name::REQUIRE).filter(|r| !r.is_empty()) {
-                    respond(self, 420, &[("Unsupported", wanted)]);
+                } else if let Some(extensions) = request.header(Name::REQUIRE).filter(|r| !r.is_empty())
+                {
+                    respond(self, 420, &[("Unsupported", extensions)]);
                 } else if method == Method::CANCEL {
-                    self.cancel(&m, tx, cx);
+                    self.handle_cancel(&request, transaction, cx);
                 } else if method == Method::BYE {
-                    match leg {
-                        Some(leg) => self.bye(leg, &m, tx, cx),
+                    match leg_token {
+                        Some(leg_token) => self.handle_bye(leg_token, &request, transaction, cx),
                         None => respond(self, 481, &[]),
                     }
-                } else if method == Method::INVITE && !in_dialog {
-                    self.invite(&m, tx, source, cx);
+                } else if method == Method::INVITE && !has_to_tag {
+                    self.handle_invite(&request, transaction, source, cx);
                 } else if method == Method::INVITE {
-                    // The description of a standing call is not changed.
-                    respond(self, if leg.is_some() { 488 } else { 481 }, &[]);
+                    // A re-INVITE is rejected: the session description of an established call can't be changed.
+                    respond(self, if leg_token.is_some() { 488 } else { 481 }, &[]);
                 } else if method == Method::OPTIONS && !cx.lifecycle.is_ready() {
-                    // Who asks in turn sends its calls elsewhere; those that come all the same are taken.
+                    // While this process drains or stops, a 503 makes peers that poll with OPTIONS send their calls
+                    // elsewhere. Calls that arrive nevertheless are accepted.
                     respond(self, 503, &[]);
                 } else if method == Method::OPTIONS {
                     respond(self, 200, &[("Allow", ALLOW), ("Accept", "application/sdp")]);
@@ -59,118 +72,153 @@
                     respond(self, 405, &[("Allow", ALLOW)]);
                 }
             }
-            Taken::Ack => self.ack(&m, cx),
+            Taken::Ack => self.handle_ack(&request, cx),
             Taken::Full => {
-                cx.log.line(cx.now, "sip-full", format_args!("{method} of {}", source.addr));
-                let tag = self.unique();
-                let more = [("Retry-After", FULL_FOR)];
-                let bytes = message::response(&m.headers, 503, &tag, &more, "");
+                cx.log.line(cx.now, "sip-full", format_args!("{method} from {}", source.addr));
+                let tag = self.random_id();
+                let extra_headers = [("Retry-After", FULL_RETRY_AFTER_SECS)];
+                let bytes = message::response(&request.headers, 503, &tag, &extra_headers, "");
                 let _ = self.transport.send(source, &bytes, cx);
             }
             Taken::Response(_) | Taken::Absorbed | Taken::Stray => {}
         }
     }
 
+    /// Sends a response without a body in a server transaction.
     pub(super) fn respond(
         &mut self,
-        tx: Token,
-        to: &Headers,
+        transaction: Token,
+        request_headers: &Headers,
         status: u16,
-        more: &[(&str, &str)],
+        extra_headers: &[(&str, &str)],
         now: Duration,
     ) {
-        let tag = self.unique();
-        let bytes = message::response(to, status, &tag, more, "");
-        self.transactions.respond(now, tx, status, bytes, &mut self.output);
+        let tag = self.random_id();
+        let bytes = message::response(request_headers, status, &tag, extra_headers, "");
+        self.transactions.respond(now, transaction, status, bytes, &mut self.pending_output);
     }
 
-    /// A new call.
-    pub(super) fn invite(&mut self, m: &Message, tx: Token, source: Target, cx: &mut Context) {
-        if self.legs.len() >= self.most_legs {
-            cx.log.line(cx.now, "sip-full", format_args!("INVITE of {}", source.addr));
-            return self.respond(tx, &m.headers, 503, &[("Retry-After", FULL_FOR)], cx.now);
+    /// Handles the INVITE of a new call.
+    pub(super) fn handle_invite(
+        &mut self,
+        invite: &Message,
+        transaction: Token,
+        source: Target,
+        cx: &mut Context,
+    ) {
+        if self.legs.len() >= self.max_legs {
+            cx.log.line(cx.now, "sip-full", format_args!("INVITE from {}", source.addr));
+            return self.respond(
+                transaction,
+                &invite.headers,
+                503,
+                &[("Retry-After", FULL_RETRY_AFTER_SECS)],
+                cx.now,
+            );
         }
-        let number = m.called().and_then(|called| Some((self.config.number(&called)?.clone(), called)));
-        let Some((plan, called)) = number else {
-            return self.respond(tx, &m.headers, 404, &[], cx.now);
+        let plan_and_number = invite.called_number().and_then(|called_number| {
+            Some((self.config.number_plan_entry(&called_number)?.clone(), called_number))
+        });
+        let Some((plan_entry, called_number)) = plan_and_number else {
+            return self.respond(transaction, &invite.headers, 404, &[], cx.now);
         };
-        let (Some(class), Some(text)) =
-            (cx.wire.classes.iter().position(|c| *c == plan.class), m.text())
+        let (Some(class), Some(description)) =
+            (cx.wire.classes.iter().position(|c| *c == plan_entry.class), invite.body_text())
         else {
-            return self.respond(tx, &m.headers, 415, &[("Accept", "application/sdp")], cx.now);
+            return self.respond(
+                transaction,
+                &invite.headers,
+                415,
+                &[("Accept", "application/sdp")],
+                cx.now,
+            );
         };
-        let tag = self.unique();
-        let trying = message::response(&m.headers, 100, &tag, &[], "");
-        self.transactions.respond(cx.now, tx, 100, trying, &mut self.output);
-        let expires = m.headers.get_named::<Expires>().ok().map(|e| Duration::from_secs(e.0.into()));
+        let local_tag = self.random_id();
+        let trying = message::response(&invite.headers, 100, &local_tag, &[], "");
+        self.transactions.respond(cx.now, transaction, 100, trying, &mut self.pending_output);
+        let expires =
+            invite.headers.get_named::<Expires>().ok().map(|e| Duration::from_secs(e.0.into()));
         let deadline = cx.wire.deadlines[class];
-        let new = IncomingCall {
+        let incoming_call = IncomingCall {
             class,
-            dialled: dialled(&called),
-            patience: expires.map_or(deadline, |e| e.min(deadline)),
-            destination: plan.exchange,
-            circuits: plan.circuits,
+            dialled: dialled_number(&called_number),
+            patience: expires.map_or(deadline, |expires| expires.min(deadline)),
+            destination: plan_entry.exchange,
+            circuits: plan_entry.circuits,
             route_hint: None,
             origin: Origin::Subscriber,
             info: Rc::new(CallInfo {
-                id: self.unique(),
-                class: plan.class.clone(),
-                key: called,
-                description: text.to_owned(),
+                id: self.random_id(),
+                class: plan_entry.class.clone(),
+                key: called_number,
+                description: description.to_owned(),
             }),
         };
-        let dialog = Dialog::called(m, &tag, source);
-        let key = (dialog.call_id.clone(), tag);
-        let call = cx.engine.new_call(cx.now, new, cx.timers);
-        let leg = self.legs.insert(Leg {
+        let dialog = Dialog::for_uas(invite, &local_tag, source);
+        let dialog_key = (dialog.call_id.clone(), local_tag);
+        let call = cx.engine.new_call(cx.now, incoming_call, cx.timers);
+        let leg_token = self.legs.insert(Leg {
             party: Party::Caller(call),
-            state: State::Ringing,
+            state: LegState::Pending,
             dialog,
-            invite: tx,
-            headers: m.headers.clone(),
-            sent: None,
-            cancelled: false,
-            again: Rc::from([]),
-            interval: self.config.times.t1,
-            since: cx.now,
-            checked: cx.now,
-            bye_waits: false,
+            invite_transaction: transaction,
+            invite_headers: invite.headers.clone(),
+            sent_invite: None,
+            cancel_sent: false,
+            retransmission: Rc::from([]),
+            retransmit_interval: self.config.times.t1,
+            state_changed_at: cx.now,
+            last_checked_at: cx.now,
+            bye_after_ack: false,
         });
-        self.by_call.insert(call, leg);
-        self.by_dialog.insert(key, leg);
-        self.by_invite.insert(tx, leg);
+        self.legs_by_call.insert(call, leg_token);
+        self.legs_by_dialog.insert(dialog_key, leg_token);
+        self.legs_by_invite.insert(transaction, leg_token);
     }
 
-    pub(super) fn cancel(&mut self, m: &Message, tx: Token, cx: &mut Context) {
-        let Some(invite) = self.transactions.cancelled(m) else {
-            return self.respond(tx, &m.headers, 481, &[], cx.now);
+    /// Handles a CANCEL: ends the call if its INVITE has no final response yet.
+    pub(super) fn handle_cancel(&mut self, cancel: &Message, transaction: Token, cx: &mut Context) {
+        let Some(invite_transaction) = self.transactions.invite_of_cancel(cancel) else {
+            return self.respond(transaction, &cancel.headers, 481, &[], cx.now);
         };
-        self.respond(tx, &m.headers, 200, &[], cx.now);
-        // Once there is a final response the CANCEL changes nothing.
-        let leg = self.by_invite.get(&invite).copied().filter(|_| self.transactions.is_owed(invite));
-        if let Some((leg, Party::Caller(call))) =
-            leg.and_then(|leg| Some((leg, self.legs.get(leg)?.party)))
+        self.respond(transaction, &cancel.headers, 200, &[], cx.now);
+        // After the final response, a CANCEL has no effect.
+        let leg_token = self
+            .legs_by_invite
+            .get(&invite_transaction)
+            .copied()
+            .filter(|_| self.transactions.awaits_final_response(invite_transaction));
+        if let Some((leg_token, Party::Caller(call))) =
+            leg_token.and_then(|leg_token| Some((leg_token, self.legs.get(leg_token)?.party)))
         {
-            self.final_answer(leg, 487, &[], "", cx);
+            self.send_failure_response(leg_token, 487, &[], "", cx);
             cx.engine.caller_ended(cx.now, call, cx.timers);
         }
     }
 
-    pub(super) fn bye(&mut self, leg: Token, m: &Message, tx: Token, cx: &mut Context) {
-        let Some(l) = self.legs.get_mut(leg).filter(|l| l.state != State::Over) else {
-            return self.respond(tx, &m.headers, 481, &[], cx.now);
+    /// Handles a BYE of the caller or the exchange.
+    pub(super) fn handle_bye(
+        &mut self,
+        leg_token: Token,
+        bye: &Message,
+        transaction: Token,
+        cx: &mut Context,
+    ) {
+        let Some(leg) = self.legs.get_mut(leg_token).filter(|leg| leg.state != LegState::Terminated)
+        else {
+            return self.respond(transaction, &bye.headers, 481, &[], cx.now);
         };
-        if m.cseq.cseq <= l.dialog.remote_seq && matches!(l.party, Party::Caller(_)) {
-            return self.respond(tx, &m.headers, 500, &[], cx.now);
+        if bye.cseq.cseq <= leg.dialog.remote_cseq && matches!(leg.party, Party::Caller(_)) {
+            return self.respond(transaction, &bye.headers, 500, &[], cx.now);
         }
-        l.dialog.remote_seq = m.cseq.cseq;
-        let (party, ringing) = (l.party, l.state == State::Ringing);
-        self.respond(tx, &m.headers, 200, &[], cx.now);
-        if ringing && matches!(party, Party::Caller(_)) {
-            // A caller may end its early dialog this way; its INVITE still wants an answer.
-            self.final_answer(leg, 487, &[], "", cx);
+        leg.dialog.remote_cseq = bye.cseq.cseq;
+        let (party, is_pending) = (leg.party, leg.state == LegState::Pending);
+        self.respond(transaction, &bye.headers, 200, &[], cx.now);
+        if is_pending && matches!(party, Party::Caller(_)) {
+            // A caller may end its early dialog with a BYE; its INVITE still needs a final response.
+            self.send_failure_response(leg_token, 487, &[], "", cx);
         }
-        self.over(leg, cx);
+        self.terminate_leg(leg_token, cx);
         match party {
             Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
             Party::Exchange(attempt) => {
@@ -179,52 +227,56 @@
         }
     }
 
-    /// The ACK of a 2xx.
-    pub(super) fn ack(&mut self, m: &Message, cx: &mut Context) {
-        let tag = m.to.tag.as_ref().map_or(String::new(), |t| t.to_string());
-        let Some(leg) = self.by_dialog.get(&(m.call_id.clone(), tag)).copied() else {
+    /// Handles the ACK of a 2xx.
+    pub(super) fn handle_ack(&mut self, ack: &Message, cx: &mut Context) {
+        let to_tag = ack.to.tag.as_ref().map_or(String::new(), |t| t.to_string());
+        let Some(leg_token) = self.legs_by_dialog.get(&(ack.call_id.clone(), to_tag)).copied() else {
             return;
         };
-        if let Some(l) = self.legs.get_mut(leg).filter(|l| l.state == State::Answered) {
-            l.state = State::Standing;
-            if l.bye_waits {
-                self.say_bye(leg, cx);
+        if let Some(leg) = self.legs.get_mut(leg_token).filter(|leg| leg.state == LegState::AwaitingAck)
+        {
+            leg.state = LegState::Confirmed;
+            if leg.bye_after_ack {
+                self.send_bye(leg_token, cx);
             }
         }
     }
 
-    pub(super) fn response(&mut self, m: Message, cx: &mut Context) {
-        let Taken::Response(tx) = self.transactions.response(cx.now, &m, &mut self.output) else {
+    /// Handles a received response.
+    pub(super) fn handle_response(&mut self, response: Message, cx: &mut Context) {
+        let Taken::Response(transaction) =
+            self.transactions.response(cx.now, &response, &mut self.pending_output)
+        else {
             return;
         };
-        let Some(status) = m.status() else {
+        let Some(status) = response.status() else {
             return;
         };
-        if self.options_answered(tx, status, cx) {
+        if self.handle_options_response(transaction, status, cx) {
             return;
         }
-        let Some(leg) = self.by_invite.get(&tx).copied() else {
+        let Some(leg_token) = self.legs_by_invite.get(&transaction).copied() else {
             return;
         };
-        let Some(l) = self.legs.get(leg) else {
+        let Some(leg) = self.legs.get(leg_token) else {
             return;
         };
-        let Party::Exchange(attempt) = l.party else {
+        let Party::Exchange(attempt) = leg.party else {
             return;
         };
         cx.engine.record_attempt_activity(cx.now, attempt);
-        match (status, l.state) {
-            (100..=199, State::Over) => self.send_cancel(leg, cx.now),
+        match (status, leg.state) {
+            (100..=199, LegState::Terminated) => self.send_cancel(leg_token, cx.now),
             (100..=199, _) => {}
-            (200..=299, State::Ringing) => {
-                self.acknowledge(leg, &m, cx);
-                if let Some(l) = self.legs.get_mut(leg) {
-                    l.state = State::Standing;
+            (200..=299, LegState::Pending) => {
+                self.send_ack(leg_token, &response, cx);
+                if let Some(leg) = self.legs.get_mut(leg_token) {
+                    leg.state = LegState::Confirmed;
                 }
-                // A description that can't be read is never passed on, not even as an empty one.
-                let Some(description) = m.text().map(str::to_owned) else {
-                    cx.log.line(cx.now, "sip-malformed", "an answer whose body is no text");
-                    self.say_bye(leg, cx);
+                // An unreadable session description is never passed on, not even as an empty one.
+                let Some(description) = response.body_text().map(str::to_owned) else {
+                    cx.log.line(cx.now, "sip-malformed", "the body of a 2xx is not UTF-8 text");
+                    self.send_bye(leg_token, cx);
                     return cx.engine.attempt_ended(
                         cx.now,
                         attempt,
@@ -233,87 +285,100 @@
                     );
                 };
                 if !cx.engine.answered(cx.now, attempt, None, description, cx.timers) {
-                    self.say_bye(leg, cx);
+                    self.send_bye(leg_token, cx);
                 }
             }
-            // The answer crossed the CANCEL: the call stands there, and is ended at once.
-            (200..=299, State::Over) if l.again.is_empty() => {
-                self.acknowledge(leg, &m, cx);
-                self.say_bye(leg, cx);
+            // The 2xx crossed the CANCEL: the call is established at the exchange and is released at once.
+            (200..=299, LegState::Terminated) if leg.retransmission.is_empty() => {
+                self.send_ack(leg_token, &response, cx);
+                self.send_bye(leg_token, cx);
             }
+            // A retransmitted 2xx gets the ACK again; one with another To tag comes from another fork.
             (200..=299, _) => {
-                let tag = m.to.tag.as_ref().map_or("", |t| t);
-                if tag == l.dialog.remote_tag {
-                    let (target, ack) = (l.dialog.target, Rc::clone(&l.again));
-                    let _ = self.transport.send(target, &ack, cx);
+                let to_tag = response.to.tag.as_ref().map_or("", |t| t);
+                if to_tag == leg.dialog.remote_tag {
+                    let (next_hop, ack) = (leg.dialog.next_hop, Rc::clone(&leg.retransmission));
+                    let _ = self.transport.send(next_hop, &ack, cx);
                 } else {
-                    self.end_fork(leg, &m, cx);
+                    self.release_fork(leg_token, &response, cx);
                 }
             }
-            (_, State::Ringing) => {
-                self.over(leg, cx);
-                cx.engine.attempt_ended(cx.now, attempt, end_of(status, &m), cx.timers);
+            (_, LegState::Pending) => {
+                self.terminate_leg(leg_token, cx);
+                cx.engine.attempt_ended(cx.now, attempt, failure_reason(status, &response), cx.timers);
             }
             _ => {}
         }
     }
 
-    /// Sends the ACK of a 2xx, and keeps it to be sent again for each retransmission.
-    pub(super) fn acknowledge(&mut self, leg: Token, m: &Message, cx: &mut Context) {
-        let Some(protocol) = self.legs.get(leg).map(|l| l.dialog.target.protocol) else {
+    /// Sends the ACK of a 2xx, and stores it to be sent again for each retransmission of the 2xx.
+    pub(super) fn send_ack(&mut self, leg_token: Token, response: &Message, cx: &mut Context) {
+        let Some(protocol) = self.legs.get(leg_token).map(|leg| leg.dialog.next_hop.protocol) else {
             return;
         };
-        let ((via, _), contact) = (self.via(protocol), self.contact(protocol));
-        if let Some(l) = self.legs.get_mut(leg) {
-            l.dialog.answered(m);
-            l.again = l.dialog.request("ACK", &via, &contact).into();
-            let _ = self.transport.send(l.dialog.target, &l.again, cx);
+        let ((via, _), contact) = (self.new_via(protocol), self.local_contact(protocol));
+        if let Some(leg) = self.legs.get_mut(leg_token) {
+            leg.dialog.update_from_answer(response);
+            leg.retransmission = leg.dialog.request("ACK", &via, &contact).into();
+            let _ = self.transport.send(leg.dialog.next_hop, &leg.retransmission, cx);
         }
     }
 
-    /// A second exchange behind a forking proxy has answered as well: it is acknowledged and released.
-    pub(super) fn end_fork(&mut self, leg: Token, m: &Message, cx: &mut Context) {
-        let Some(mut dialog) = self.legs.get(leg).map(|l| l.dialog.clone()) else {
+    /// Acknowledges and releases the call at a second exchange behind a forking proxy that has answered as well.
+    pub(super) fn release_fork(&mut self, leg_token: Token, response: &Message, cx: &mut Context) {
+        let Some(mut dialog) = self.legs.get(leg_token).map(|leg| leg.dialog.clone()) else {
             return;
         };
-        dialog.answered(m);
-        let protocol = dialog.target.protocol;
-        let ((via, _), contact) = (self.via(protocol), self.contact(protocol));
+        dialog.update_from_answer(response);
+        let protocol = dialog.next_hop.protocol;
+        let ((via, _), contact) = (self.new_via(protocol), self.local_contact(protocol));
         let ack = dialog.request("ACK", &via, &contact);
-        let _ = self.transport.send(dialog.target, &ack, cx);
-        let (via, branch) = self.via(protocol);
+        let _ = self.transport.send(dialog.next_hop, &ack, cx);
+        let (via, branch) = self.new_via(protocol);
         let bye = dialog.request("BYE", &via, &contact);
-        self.transactions.request(cx.now, "BYE", &branch, bye, (dialog.target, None), &mut self.output);
+        self.transactions.request(
+            cx.now,
+            "BYE",
+            &branch,
+            bye,
+            (dialog.next_hop, None),
+            &mut self.pending_output,
+        );
     }
 }
 
-/// The number called, as the decision module knows it: hex digits by value, all else by a hash (FNV-1a).
-fn dialled(called: &str) -> DialledNumber {
-    let hash = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
-    let by_value = u64::from_str_radix(called, 16).ok();
-    DialledNumber(by_value.unwrap_or_else(|| called.bytes().fold(0xcbf2_9ce4_8422_2325, hash)))
+/// The called number in the form that the decision module uses: the value of the text if it is a hexadecimal
+/// number, otherwise its FNV-1a hash.
+fn dialled_number(called_number: &str) -> DialledNumber {
+    let hash_byte = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
+    let hex_value = u64::from_str_radix(called_number, 16).ok();
+    DialledNumber(
+        hex_value.unwrap_or_else(|| called_number.bytes().fold(0xcbf2_9ce4_8422_2325, hash_byte)),
+    )
 }
 
-/// How a refusal by an exchange ends the attempt.
-fn end_of(status: u16, m: &Message) -> EndReason {
+/// The end reason of an attempt that an exchange rejected with a non-2xx final response.
+fn failure_reason(status: u16, response: &Message) -> EndReason {
     match status {
         408 | 504 => EndReason::TimedOut,
         480 => EndReason::NoCircuit,
         486 | 600 => EndReason::NumberBusy,
         487 => EndReason::Cancelled,
         503 => {
-            let told = m.headers.get_named::<RetryAfter>().ok();
-            EndReason::ProcessorFull(told.map(|r| Duration::from_secs(r.value.into()).min(MOST_TOLD)))
+            let retry_after = response.headers.get_named::<RetryAfter>().ok();
+            EndReason::ProcessorFull(
+                retry_after.map(|r| Duration::from_secs(r.value.into()).min(MAX_RETRY_AFTER)),
+            )
         }
         _ => EndReason::Fault,
     }
 }
 
 impl SipConfig {
-    /// The line of the number plan with the longest prefix of the number called.
-    pub fn number(&self, called: &str) -> Option<&SipNumber> {
-        let fits = self.numbers.iter().filter(|n| called.starts_with(&n.prefix));
-        fits.max_by_key(|n| n.prefix.len())
+    /// The entry of the number plan with the longest prefix that matches the called number.
+    pub fn number_plan_entry(&self, called_number: &str) -> Option<&SipNumber> {
+        let matching = self.numbers.iter().filter(|n| called_number.starts_with(&n.prefix));
+        matching.max_by_key(|n| n.prefix.len())
     }
 }
 
@@ -321,19 +386,19 @@
 mod tests {
     use super::*;
 
-    /// Guards against an exchange that a wrong header shuts for years.
+    /// Guards against a wrong Retry-After header that keeps an exchange out of use for years.
     #[test]
-    fn the_wait_of_a_full_exchange_is_taken_over_within_reason() {
-        let refusal = |retry_after: &str| {
+    fn retry_after_of_an_exchange_is_used_up_to_a_limit() {
+        let reason_of_503 = |retry_after: &str| {
             let head = "Via: SIP/2.0/UDP 127.0.0.1;branch=z9hG4bK1\r\nFrom: <sip:a@127.0.0.1>;tag=a\r\n\
                         To: <sip:b@127.0.0.1>;tag=b\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\n";
             let bytes = format!("SIP/2.0 503 Service Unavailable\r\n{head}{retry_after}\r\n");
-            end_of(503, &message::parse(bytes.as_bytes()).expect("well formed"))
+            failure_reason(503, &message::parse(bytes.as_bytes()).expect("well formed"))
         };
-        let full = |seconds| EndReason::ProcessorFull(Some(Duration::from_secs(seconds)));
-        assert_eq!(refusal(""), EndReason::ProcessorFull(None));
-        assert_eq!(refusal("Retry-After: 3 (busy);duration=9\r\n"), full(3));
-        assert_eq!(refusal("Retry-After: 4000000000\r\n"), full(32));
-        assert_eq!(refusal("Retry-After: soon\r\n"), EndReason::ProcessorFull(None));
+        let processor_full = |seconds| EndReason::ProcessorFull(Some(Duration::from_secs(seconds)));
+        assert_eq!(reason_of_503(""), EndReason::ProcessorFull(None));
+        assert_eq!(reason_of_503("Retry-After: 3 (busy);duration=9\r\n"), processor_full(3));
+        assert_eq!(reason_of_503("Retry-After: 4000000000\r\n"), processor_full(32));
+        assert_eq!(reason_of_503("Retry-After: soon\r\n"), EndReason::ProcessorFull(None));
     }
 }
--- a/node/src/net/sip/message.rs
+++ b/node/src/net/sip/message.rs
@@ -1,5 +1,5 @@
-//! SIP messages: read with the `ezk-sip-types` parser, checked for what RFC 3261 asks of every message, and
-//! written.
+//! Parsing and writing of SIP messages. They are parsed with `ezk-sip-types` and checked for the header fields
+//! that RFC 3261 requires in every message.
 
 use super::transaction::{Protocol, Target};
 use bytes::Bytes;
@@ -10,145 +10,155 @@
 use ezk_sip_types::{Headers, Method, Name, StatusCode};
 use std::fmt::Write;
 
-/// Most bytes of a message, over either transport.
+/// Maximum bytes of a message, over UDP and TCP.
 pub const MAX_MESSAGE: usize = 65_535;
 
-/// A message that was received, with the headers that every message has.
+/// A received message, with the header fields that every message has.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The request or status line.
     pub line: MessageLine,
-    /// All headers.
+    /// All header fields.
     pub headers: Headers,
     /// The topmost Via.
     pub via: Via,
-    /// From and To.
+    /// The From header field.
     pub from: FromTo,
-    /// From and To.
+    /// The To header field.
     pub to: FromTo,
-    /// The Call-ID.
+    /// The Call-ID header field.
     pub call_id: String,
-    /// The CSeq.
+    /// The CSeq header field.
     pub cseq: CSeq,
     /// The body.
     pub body: Bytes,
 }
 
-/// Why a message can't be taken.
+/// Why a message is rejected.
 #[derive(Debug)]
 pub enum Malformed {
-    /// A request that can be answered: the headers that a response repeats, and what is wrong.
+    /// A malformed request that can be answered: its header fields, of which a response repeats some, and the error.
     Request(Headers, String),
-    /// Nothing that could be answered.
+    /// A malformed message that can't be answered, and the error.
     Other(String),
 }
 
-/// Where the first message in a stream of bytes ends; `None` while it is not whole.
-pub fn length(input: &[u8]) -> Result<Option<usize>, String> {
-    let ends = |end: &[u8]| input.windows(end.len()).position(|w| w == end).map(|at| at + end.len());
-    let Some(head) = [ends(b"\r\n\r\n"), ends(b"\n\n")].into_iter().flatten().min() else {
-        return if input.len() > MAX_MESSAGE { Err("head too long".into()) } else { Ok(None) };
+/// Length of the first message in the bytes received on a stream; `None` while the message is incomplete.
+pub fn message_length(input: &[u8]) -> Result<Option<usize>, String> {
+    let end_after = |separator: &[u8]| {
+        input.windows(separator.len()).position(|w| w == separator).map(|at| at + separator.len())
     };
-    let head_text = std::str::from_utf8(&input[..head]).map_err(|_| "head is not UTF-8")?;
-    let fields = head_text.lines().filter_map(|l| l.split_once(':'));
-    let mut lengths = fields.filter(|(name, _)| {
+    let Some(head_length) = [end_after(b"\r\n\r\n"), end_after(b"\n\n")].into_iter().flatten().min()
+    else {
+        return if input.len() > MAX_MESSAGE { Err("head is too long".into()) } else { Ok(None) };
+    };
+    let head = std::str::from_utf8(&input[..head_length]).map_err(|_| "head is not UTF-8")?;
+    let fields = head.lines().filter_map(|l| l.split_once(':'));
+    let mut length_fields = fields.filter(|(name, _)| {
         let name = name.trim();
         name.eq_ignore_ascii_case("content-length") || name.eq_ignore_ascii_case("l")
     });
-    let body: usize = match lengths.next() {
-        Some((_, length)) => length.trim().parse().map_err(|_| "Content-Length is no number")?,
+    let body_length: usize = match length_fields.next() {
+        Some((_, length)) => length.trim().parse().map_err(|_| "Content-Length is not a number")?,
         None => 0,
     };
-    match head.checked_add(body) {
-        Some(whole) if whole <= MAX_MESSAGE => Ok((input.len() >= whole).then_some(whole)),
-        _ => Err("message too long".into()),
+    match head_length.checked_add(body_length) {
+        Some(total_length) if total_length <= MAX_MESSAGE => {
+            Ok((input.len() >= total_length).then_some(total_length))
+        }
+        _ => Err("message is too long".into()),
     }
 }
 
-/// Reads one whole message.
+/// Parses one complete message.
 pub fn parse(input: &[u8]) -> Result<Message, Malformed> {
-    let other = |e: &str| Malformed::Other(e.to_owned());
-    let src = Bytes::copy_from_slice(input);
-    let mut lines = PullParser::new(&src, 0);
-    let text = |line: Option<Result<_, _>>| match line {
-        Some(Ok(line)) => std::str::from_utf8(line).map(Some).map_err(|_| other("head is not UTF-8")),
-        Some(Err(_)) => Err(other("head has no end")),
+    let unanswerable = |e: &str| Malformed::Other(e.to_owned());
+    let source = Bytes::copy_from_slice(input);
+    let mut lines = PullParser::new(&source, 0);
+    let as_text = |line: Option<Result<_, _>>| match line {
+        Some(Ok(line)) => {
+            std::str::from_utf8(line).map(Some).map_err(|_| unanswerable("head is not UTF-8"))
+        }
+        Some(Err(_)) => Err(unanswerable("head is incomplete")),
         None => Ok(None),
     };
-    let first = text(lines.next())?.ok_or_else(|| other("no first line"))?;
-    let (mut headers, mut wrong) = (Headers::new(), None);
-    while let Some(line) = text(lines.next())? {
-        match Line::parse(&src, line) {
+    let first_line = as_text(lines.next())?.ok_or_else(|| unanswerable("first line is missing"))?;
+    let (mut headers, mut header_error) = (Headers::new(), None);
+    while let Some(line) = as_text(lines.next())? {
+        match Line::parse(&source, line) {
             Ok((_, line)) => headers.insert(line.name, line.value),
-            Err(_) => wrong = wrong.or(Some("a header without a name".to_owned())),
+            Err(_) => header_error = header_error.or(Some("a header line is malformed".to_owned())),
         }
     }
-    let is_request = !first.starts_with("SIP/");
-    let fail = |headers: Headers, e: String| match is_request {
+    let is_request = !first_line.starts_with("SIP/");
+    let malformed = |headers: Headers, e: String| match is_request {
         true if headers.contains(&Name::VIA) => Malformed::Request(headers, e),
         _ => Malformed::Other(e),
     };
-    if let Some(wrong) = wrong {
-        return Err(fail(headers, wrong));
+    if let Some(header_error) = header_error {
+        return Err(malformed(headers, header_error));
     }
-    let head: Result<_, String> = (|| {
-        let header = |e: ezk_sip_types::header::HeaderError| e.to_string();
-        let line: MessageLine = first.parse().map_err(|_| "first line is malformed".to_owned())?;
-        let via = headers.get_named::<Vec<Via>>().map_err(header)?.into_iter().next();
-        let cseq: CSeq = headers.get_named().map_err(header)?;
+    let parsed_head: Result<_, String> = (|| {
+        let error_text = |e: ezk_sip_types::header::HeaderError| e.to_string();
+        let line: MessageLine = first_line.parse().map_err(|_| "first line is malformed".to_owned())?;
+        let via = headers.get_named::<Vec<Via>>().map_err(error_text)?.into_iter().next();
+        let cseq: CSeq = headers.get_named().map_err(error_text)?;
         let call_id = headers.get_raw(&Name::CALL_ID).next().ok_or("Call-ID is missing")?.to_string();
         if line.request_method().is_some_and(|m| *m != cseq.method) {
-            return Err("CSeq names another method".to_owned());
+            return Err("method in CSeq differs from the request line".to_owned());
         }
         Ok((
             line,
             via.ok_or("Via is missing")?,
-            headers.get(Name::FROM).map_err(header)?,
-            headers.get(Name::TO).map_err(header)?,
+            headers.get(Name::FROM).map_err(error_text)?,
+            headers.get(Name::TO).map_err(error_text)?,
             call_id,
             cseq,
         ))
     })();
-    let (line, via, from, to, call_id, cseq) = match head {
-        Ok(head) => head,
-        Err(e) => return Err(fail(headers, e)),
+    let (line, via, from, to, call_id, cseq) = match parsed_head {
+        Ok(parsed_head) => parsed_head,
+        Err(e) => return Err(malformed(headers, e)),
     };
-    let after = src.slice(lines.head_end().min(src.len())..);
+    let rest = source.slice(lines.head_end().min(source.len())..);
     let body = match headers.get_raw(&Name::CONTENT_LENGTH).next().map(|l| l.trim().parse::<usize>()) {
-        None => after,
-        Some(Ok(length)) if length <= after.len() => after.slice(..length),
-        Some(_) => return Err(fail(headers, "Content-Length does not fit the body".into())),
+        None => rest,
+        Some(Ok(length)) if length <= rest.len() => rest.slice(..length),
+        Some(_) => {
+            return Err(malformed(headers, "Content-Length is malformed or exceeds the body".into()))
+        }
     };
     Ok(Message { line, headers, via, from, to, call_id, cseq, body })
 }
 
 impl Message {
-    /// Notes in the topmost Via where a request came from, and gives where its responses go (RFC 3261,
-    /// section 18.2; RFC 3581).
-    pub fn arrived(&mut self, source: Target) -> Target {
+    /// Adds the `received` and `rport` values to the topmost Via of a request, and returns where its responses are
+    /// sent (RFC 3261, section 18.2; RFC 3581).
+    pub fn record_source(&mut self, source: Target) -> Target {
         let sent_by = self.via.sent_by.clone();
-        let asks_port = self.via.params.get("rport").is_some();
+        let has_rport = self.via.params.get("rport").is_some();
         let mut vias: Vec<String> =
             self.headers.get_raw(&Name::VIA).map(|v| v.trim().to_owned()).collect();
-        if let Some(first) = vias.first_mut() {
-            let (top, below) =
-                first.split_once(',').map_or((first.as_str(), None), |(a, b)| (a, Some(b)));
-            let mut top = top.trim().to_owned();
-            if asks_port {
-                top = top.replacen(";rport", &format!(";rport={}", source.addr.port()), 1);
+        if let Some(first_field) = vias.first_mut() {
+            let (top_via, other_vias) =
+                first_field.split_once(',').map_or((first_field.as_str(), None), |(a, b)| (a, Some(b)));
+            let mut top_via = top_via.trim().to_owned();
+            if has_rport {
+                top_via = top_via.replacen(";rport", &format!(";rport={}", source.addr.port()), 1);
             }
-            if asks_port || sent_by.ip() != Some(source.addr.ip()) {
-                let _ = write!(top, ";received={}", source.addr.ip());
+            if has_rport || sent_by.ip() != Some(source.addr.ip()) {
+                let _ = write!(top_via, ";received={}", source.addr.ip());
             }
-            *first = below.map_or(top.clone(), |below| format!("{top},{below}"));
+            *first_field =
+                other_vias.map_or(top_via.clone(), |other_vias| format!("{top_via},{other_vias}"));
         }
         self.headers.remove(&Name::VIA);
         vias.into_iter().for_each(|via| self.headers.insert(Name::VIA, via));
-        let mut back = source;
-        if source.protocol == Protocol::Udp && !asks_port {
-            back.addr.set_port(sent_by.port.unwrap_or(5060));
+        let mut response_target = source;
+        if source.protocol == Protocol::Udp && !has_rport {
+            response_target.addr.set_port(sent_by.port.unwrap_or(5060));
         }
-        back
+        response_target
     }
 
     /// The method of a request.
@@ -156,7 +166,7 @@
         self.line.request_method()
     }
 
-    /// The status of a response.
+    /// The status code of a response.
     pub fn status(&self) -> Option<u16> {
         match &self.line {
             MessageLine::Response(line) => Some(line.code.into_u16()),
@@ -164,13 +174,13 @@
         }
     }
 
-    /// The branch of the topmost Via.
+    /// The branch parameter of the topmost Via; empty if missing.
     pub fn branch(&self) -> &str {
         self.via.params.get_val("branch").map_or("", |b| b)
     }
 
-    /// The number called: the user part of the request URI.
-    pub fn called(&self) -> Option<String> {
+    /// The called number: the user part of the request URI.
+    pub fn called_number(&self) -> Option<String> {
         match &self.line {
             MessageLine::Request(line) => match &line.uri.user_part {
                 ezk_sip_types::uri::SipUriUserPart::User(user) => Some(user.to_string()),
@@ -181,37 +191,37 @@
         }
     }
 
-    /// Where requests of the dialog go.
+    /// The URI of the first Contact: the remote target of the dialog.
     pub fn contact(&self) -> Option<SipUri> {
         let contacts: Vec<Contact> = self.headers.get_named().ok()?;
         contacts.into_iter().next().map(|c| c.uri.uri)
     }
 
-    /// A header's first value.
+    /// The first value of a header field.
     pub fn header(&self, name: Name) -> Option<&str> {
         self.headers.get_raw(&name).next().map(|v| v.trim())
     }
 
-    /// The body, if it is text.
-    pub fn text(&self) -> Option<&str> {
+    /// The body, if it is valid UTF-8.
+    pub fn body_text(&self) -> Option<&str> {
         std::str::from_utf8(&self.body).ok()
     }
 }
 
-/// A URI as text.
-pub fn uri(uri: &SipUri) -> String {
+/// Formats a URI as text.
+pub fn format_uri(uri: &SipUri) -> String {
     uri.default_print_ctx().to_string()
 }
 
-/// All values of a header, one a line as they came.
-fn copy(out: &mut String, headers: &Headers, name: Name, label: &str) {
+/// Copies all values of a header field in their order, one per line.
+fn copy_headers(text: &mut String, headers: &Headers, name: Name, label: &str) {
     for value in headers.get_raw(&name) {
-        let _ = write!(out, "{label}: {}\r\n", value.trim());
+        let _ = write!(text, "{label}: {}\r\n", value.trim());
     }
 }
 
-/// Writes the end of a head, and the body.
-fn finish(mut head: String, body: &str) -> Vec<u8> {
+/// Completes a message: appends Content-Type (if there is a body), Content-Length and the body.
+fn finish_message(mut head: String, body: &str) -> Vec<u8> {
     if !body.is_empty() {
         head.push_str("Content-Type: application/sdp\r\n");
     }
@@ -219,41 +229,43 @@
     head.into_bytes()
 }
 
-/// Writes a response to a request with these headers. `to_tag` is added where To has none.
+/// Writes a response to a request with these header fields. `to_tag` is added if To has no tag and the response
+/// is not 100.
 pub fn response(
     request: &Headers,
     status: u16,
     to_tag: &str,
-    more: &[(&str, &str)],
+    extra_headers: &[(&str, &str)],
     body: &str,
 ) -> Vec<u8> {
     let reason = StatusCode::from(status).text().unwrap_or("Unknown");
-    let mut out = format!("SIP/2.0 {status} {reason}\r\n");
-    copy(&mut out, request, Name::VIA, "Via");
-    copy(&mut out, request, Name::FROM, "From");
+    let mut text = format!("SIP/2.0 {status} {reason}\r\n");
+    copy_headers(&mut text, request, Name::VIA, "Via");
+    copy_headers(&mut text, request, Name::FROM, "From");
     if let Some(to) = request.get_raw(&Name::TO).next() {
-        let tagged = status == 100 || request.get::<FromTo>(Name::TO).is_ok_and(|to| to.tag.is_some());
-        let tag = if tagged { String::new() } else { format!(";tag={to_tag}") };
-        let _ = write!(out, "To: {}{tag}\r\n", to.trim());
+        let omits_new_tag =
+            status == 100 || request.get::<FromTo>(Name::TO).is_ok_and(|to| to.tag.is_some());
+        let tag = if omits_new_tag { String::new() } else { format!(";tag={to_tag}") };
+        let _ = write!(text, "To: {}{tag}\r\n", to.trim());
     }
-    copy(&mut out, request, Name::CALL_ID, "Call-ID");
-    copy(&mut out, request, Name::CSEQ, "CSeq");
+    copy_headers(&mut text, request, Name::CALL_ID, "Call-ID");
+    copy_headers(&mut text, request, Name::CSEQ, "CSeq");
     if (200..300).contains(&status) {
-        copy(&mut out, request, Name::RECORD_ROUTE, "Record-Route");
+        copy_headers(&mut text, request, Name::RECORD_ROUTE, "Record-Route");
     }
-    for (name, value) in more {
-        let _ = write!(out, "{name}: {value}\r\n");
+    for (name, value) in extra_headers {
+        let _ = write!(text, "{name}: {value}\r\n");
     }
-    finish(out, body)
+    finish_message(text, body)
 }
 
 /// Writes a request.
 pub fn request(method: &str, uri: &str, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
-    let mut out = format!("{method} {uri} SIP/2.0\r\n");
+    let mut text = format!("{method} {uri} SIP/2.0\r\n");
     for (name, value) in headers {
-        let _ = write!(out, "{name}: {value}\r\n");
+        let _ = write!(text, "{name}: {value}\r\n");
     }
-    finish(out, body)
+    finish_message(text, body)
 }
 
 #[cfg(test)]
@@ -264,34 +276,41 @@
         From: <sip:a@127.0.0.1>;tag=a\r\nTo: <sip:21@127.0.0.1>\r\ni: c1\r\nCSeq: 1 INVITE\r\nl: 4\r\n\r\nv=0\n";
 
     #[test]
-    fn a_request_is_read_with_compact_names() {
-        let m = parse(INVITE.as_bytes()).expect("well formed");
+    fn request_with_compact_header_names_is_parsed() {
+        let message = parse(INVITE.as_bytes()).expect("well formed");
         assert_eq!(
-            (m.branch(), m.call_id.as_str(), m.called().as_deref()),
+            (message.branch(), message.call_id.as_str(), message.called_number().as_deref()),
             ("z9hG4bK1", "c1", Some("21"))
         );
-        assert_eq!((m.text(), length(INVITE.as_bytes())), (Some("v=0\n"), Ok(Some(INVITE.len()))));
-        assert_eq!(length(&INVITE.as_bytes()[..INVITE.len() - 1]), Ok(None), "not whole yet");
+        assert_eq!(
+            (message.body_text(), message_length(INVITE.as_bytes())),
+            (Some("v=0\n"), Ok(Some(INVITE.len())))
+        );
+        assert_eq!(message_length(&INVITE.as_bytes()[..INVITE.len() - 1]), Ok(None), "incomplete");
     }
 
-    /// Guards against input that ends the process or is answered as if it were sound.
+    /// Guards against malformed input that causes a panic, and against a truncated message that is accepted as
+    /// complete.
     #[test]
-    fn every_cut_and_every_spoilt_byte_is_taken_or_turned_away() {
-        for cut in 0..INVITE.len() {
-            assert!(parse(&INVITE.as_bytes()[..cut]).is_err(), "cut at {cut}");
-            let _ = length(&INVITE.as_bytes()[..cut]);
+    fn truncated_or_corrupted_messages_cause_no_panic_and_truncated_ones_are_rejected() {
+        for length in 0..INVITE.len() {
+            assert!(
+                parse(&INVITE.as_bytes()[..length]).is_err(),
+                "parsed although truncated to {length} bytes"
+            );
+            let _ = message_length(&INVITE.as_bytes()[..length]);
         }
-        for at in 0..INVITE.len() {
+        for position in 0..INVITE.len() {
             for byte in [0u8, b'\n', b'\r', b':', b'<', b';', 0xff] {
-                let mut spoilt = INVITE.as_bytes().to_vec();
-                spoilt[at] = byte;
-                let _ = (parse(&spoilt), length(&spoilt));
+                let mut corrupted = INVITE.as_bytes().to_vec();
+                corrupted[position] = byte;
+                let _ = (parse(&corrupted), message_length(&corrupted));
             }
         }
-        let wrong = INVITE.replace("CSeq: 1 INVITE", "CSeq: 1 BYE");
+        let wrong_cseq = INVITE.replace("CSeq: 1 INVITE", "CSeq: 1 BYE");
         assert!(
-            matches!(parse(wrong.as_bytes()), Err(Malformed::Request(..))),
-            "can be answered with 400"
+            matches!(parse(wrong_cseq.as_bytes()), Err(Malformed::Request(..))),
+            "a wrong CSeq method must allow a 400 response"
         );
     }
 }
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -1,5 +1,6 @@
-//! The SIP front: calls come in as INVITEs and go out as INVITEs, with the same engine between as on the
-//! platform's wire. Each call has a leg towards its caller, one towards its exchange, or both.
+//! The SIP front, a back-to-back user agent: it receives calls as INVITEs (as UAS) and sends them to exchanges as
+//! INVITEs (as UAC). The engine in between also serves the platform's JSON lines: a call may have a SIP leg towards
+//! its caller, one towards its exchange, or both.
 
 mod checks;
 mod commands;
@@ -25,60 +26,65 @@
 use transaction::{Output, Protocol, Sent, Target, Timer, Transactions};
 use transport::Transport;
 
-/// Datagrams taken in one turn.
-const DATAGRAMS: usize = 64;
+/// Maximum datagrams received per iteration of the event loop.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+/// Value of the Allow header field: the supported methods.
 const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
 
-/// What the SIP front waits for.
+/// A timer of the SIP front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SipDue {
     /// A timer of a transaction.
-    Timer(Token, Timer),
-    /// A 2xx has had no ACK yet and is sent again.
-    AnswerAgain(Token),
-    /// A leg that is over need not be known any longer.
-    Forget(Token),
+    TransactionTimer(Token, Timer),
+    /// The 2xx of a leg is retransmitted, as its ACK has not arrived yet.
+    RetransmitAnswer(Token),
+    /// The state of a terminated leg is removed.
+    RemoveLeg(Token),
 }
 
-/// What a leg is doing.
+/// State of a leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum LegState {
     /// No final response yet.
-    Ringing,
-    /// Caller's leg: answered, the ACK is awaited.
-    Answered,
-    /// It stands.
-    Standing,
-    /// It is over; kept to deal with what still comes for it.
-    Over,
+    Pending,
+    /// Caller's leg: a 2xx has been sent, and its ACK is awaited.
+    AwaitingAck,
+    /// The dialog is confirmed: the call is established.
+    Confirmed,
+    /// The leg has ended; it is kept to process messages that still arrive for it.
+    Terminated,
 }
 
-/// Towards whom a leg goes.
+/// The remote party of a leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Party {
     Caller(CallToken),
     Exchange(AttemptToken),
 }
 
+/// One side of a call.
 struct Leg {
     party: Party,
-    state: State,
+    state: LegState,
     dialog: Dialog,
-    /// The transaction of the INVITE.
-    invite: Token,
-    /// Caller's leg: the headers of the INVITE. Its final answer is sent in `invite`.
-    headers: Headers,
-    /// Exchange's leg: what a CANCEL repeats, and whether one has been sent.
-    sent: Option<Rc<Sent>>,
-    cancelled: bool,
-    /// What is sent again: the 2xx to the caller, or the ACK to the exchange.
-    again: Rc<[u8]>,
-    interval: Duration,
-    since: Duration,
-    /// Exchange's leg: when it was last asked within the dialog whether that is still known.
-    checked: Duration,
-    /// Caller's leg: the release came before the ACK, and waits for it.
-    bye_waits: bool,
+    /// The transaction of its INVITE.
+    invite_transaction: Token,
+    /// Caller's leg: the header fields of the INVITE, from which its final response is built.
+    invite_headers: Headers,
+    /// Exchange's leg: the parts of the INVITE that a CANCEL repeats.
+    sent_invite: Option<Rc<Sent>>,
+    /// Exchange's leg: a CANCEL has been sent.
+    cancel_sent: bool,
+    /// The message to retransmit: the 2xx to the caller, or the ACK of a 2xx to the exchange. Empty before that.
+    retransmission: Rc<[u8]>,
+    /// Caller's leg: the current retransmission interval of the 2xx.
+    retransmit_interval: Duration,
+    /// When the leg was created, answered or terminated, whichever was last.
+    state_changed_at: Duration,
+    /// Exchange's leg: when it was created, or last checked with an OPTIONS within the dialog.
+    last_checked_at: Duration,
+    /// Caller's leg: the call was released before the ACK arrived, so that the BYE is sent after the ACK.
+    bye_after_ack: bool,
 }
 
 /// The SIP front.
@@ -87,20 +93,25 @@
     transport: Transport,
     transactions: Transactions,
     legs: Arena<Leg>,
-    /// Legs beyond which no call is taken; one that is over is kept for a while.
-    most_legs: usize,
-    by_call: HashMap<CallToken, Token>,
-    by_attempt: HashMap<AttemptToken, Token>,
-    /// Call-ID and own tag of a dialog.
-    by_dialog: HashMap<(String, String), Token>,
-    /// The leg of an INVITE's transaction.
-    by_invite: HashMap<Token, Token>,
-    /// The leg of the transaction of an OPTIONS within its dialog.
-    by_options: HashMap<Token, Token>,
-    output: Vec<Output>,
-    /// More datagrams have come than one turn allows.
-    more_datagrams: bool,
-    random: u64,
+    /// Maximum number of legs, above which new calls are rejected. It counts terminated legs, too, which are kept
+    /// for a while.
+    max_legs: usize,
+    /// The caller's leg of a call.
+    legs_by_call: HashMap<CallToken, Token>,
+    /// The exchange's leg of an attempt.
+    legs_by_attempt: HashMap<AttemptToken, Token>,
+    /// The leg of a dialog, by Call-ID and local tag.
+    legs_by_dialog: HashMap<(String, String), Token>,
+    /// The leg of an INVITE transaction.
+    legs_by_invite: HashMap<Token, Token>,
+    /// The leg of an OPTIONS transaction within its dialog.
+    legs_by_options: HashMap<Token, Token>,
+    /// Actions that the transactions have asked for and that are not carried out yet.
+    pending_output: Vec<Output>,
+    /// More datagrams than one iteration of the event loop receives may be waiting.
+    may_have_datagrams: bool,
+    /// State of the generator of [`Sip::random_id`].
+    random_state: u64,
 }
 
 impl Sip {
@@ -114,26 +125,27 @@
         let transport = Transport::bind(config.udp, config.tcp, limits, registry)?;
         Ok(Sip {
             transactions: Transactions::new(config.times, limits.transactions()),
-            most_legs: limits.transactions(),
+            max_legs: limits.transactions(),
             config,
             transport,
             legs: Arena::default(),
-            by_call: HashMap::new(),
-            by_attempt: HashMap::new(),
-            by_dialog: HashMap::new(),
-            by_invite: HashMap::new(),
-            by_options: HashMap::new(),
-            output: Vec::new(),
-            more_datagrams: false,
-            random: seed,
+            legs_by_call: HashMap::new(),
+            legs_by_attempt: HashMap::new(),
+            legs_by_dialog: HashMap::new(),
+            legs_by_invite: HashMap::new(),
+            legs_by_options: HashMap::new(),
+            pending_output: Vec::new(),
+            may_have_datagrams: false,
+            random_state: seed,
         })
     }
 
-    /// Where the front listens.
+    /// The addresses that the front listens on, for the log.
     pub fn listens(&self) -> String {
-        let on = |name, protocol| self.transport.local(protocol).map(|a| format!("{name} {a}"));
-        let on = [on("udp", Protocol::Udp), on("tcp", Protocol::Tcp)];
-        on.into_iter().flatten().collect::<Vec<_>>().join(", ")
+        let address =
+            |name, protocol| self.transport.local_addr(protocol).map(|a| format!("{name} {a}"));
+        let addresses = [address("udp", Protocol::Udp), address("tcp", Protocol::Tcp)];
+        addresses.into_iter().flatten().collect::<Vec<_>>().join(", ")
     }
 
     /// Whether an exchange is reached over SIP.
@@ -141,28 +153,33 @@
         self.config.exchanges.contains_key(&number)
     }
 
-    /// Whether a call came in here.
+    /// Whether a call was received over SIP.
     pub fn owns(&self, call: CallToken) -> bool {
-        self.by_call.contains_key(&call)
+        self.legs_by_call.contains_key(&call)
     }
 
-    /// Whether an attempt went out here.
+    /// Whether an attempt was sent over SIP.
     pub fn sent(&self, attempt: AttemptToken) -> bool {
-        self.by_attempt.contains_key(&attempt)
+        self.legs_by_attempt.contains_key(&attempt)
     }
 
-    /// Whether all that was sent has been written, and each BYE and CANCEL answered.
+    /// Whether all messages have been written and no BYE, CANCEL or OPTIONS sent from here awaits a final response.
     pub fn is_settled(&self) -> bool {
-        self.transport.is_flushed() && !self.transactions.is_waiting()
+        self.transport.is_flushed() && !self.transactions.has_pending_requests()
     }
 
-    /// Ends all dialogs at a planned stop: without the front nobody could pass their end on.
+    /// Ends all dialogs at a planned stop: once this front has stopped, the end of a call could no longer be passed
+    /// on from one leg to the other.
     pub fn end_dialogs(&mut self, cx: &mut Context) {
-        let live = |l: &Leg| matches!(l.state, State::Answered | State::Standing);
-        let legs: Vec<_> =
-            self.legs.iter().filter(|(_, l)| live(l)).map(|(t, l)| (t, l.party)).collect();
-        for (leg, party) in legs {
-            self.say_bye(leg, cx);
+        let has_dialog = |leg: &Leg| matches!(leg.state, LegState::AwaitingAck | LegState::Confirmed);
+        let legs: Vec<_> = self
+            .legs
+            .iter()
+            .filter(|(_, leg)| has_dialog(leg))
+            .map(|(leg_token, leg)| (leg_token, leg.party))
+            .collect();
+        for (leg_token, party) in legs {
+            self.send_bye(leg_token, cx);
             match party {
                 Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
                 Party::Exchange(attempt) => {
@@ -170,161 +187,181 @@
                 }
             }
         }
-        self.send_all(cx);
+        self.process_output(cx);
     }
 
-    /// Numbers that can't be guessed from those before: tags, branches, Call-IDs (SplitMix64).
-    fn unique(&mut self) -> String {
-        self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.random;
+    /// The next pseudo-random identifier for a tag, branch or Call-ID (SplitMix64), so that none can be guessed by
+    /// counting up from an earlier one.
+    fn random_id(&mut self) -> String {
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         format!("{:016x}", z ^ (z >> 31))
     }
 
-    fn own(&self, protocol: Protocol) -> String {
-        self.transport.local(protocol).map_or("127.0.0.1".to_owned(), |a| a.to_string())
+    /// The local address, as text for header fields.
+    fn local_address(&self, protocol: Protocol) -> String {
+        self.transport.local_addr(protocol).map_or("127.0.0.1".to_owned(), |a| a.to_string())
     }
 
-    fn via(&mut self, protocol: Protocol) -> (String, String) {
-        let branch = format!("z9hG4bK{}", self.unique());
+    /// A Via value with a new branch, and that branch.
+    fn new_via(&mut self, protocol: Protocol) -> (String, String) {
+        let branch = format!("z9hG4bK{}", self.random_id());
         let name = if protocol == Protocol::Udp { "UDP" } else { "TCP" };
-        (format!("SIP/2.0/{name} {};branch={branch}", self.own(protocol)), branch)
+        (format!("SIP/2.0/{name} {};branch={branch}", self.local_address(protocol)), branch)
     }
 
-    fn contact(&self, protocol: Protocol) -> String {
+    /// The value of the Contact header field of this front.
+    fn local_contact(&self, protocol: Protocol) -> String {
         let transport = if protocol == Protocol::Tcp { ";transport=tcp" } else { "" };
-        format!("<sip:{}{transport}>", self.own(protocol))
+        format!("<sip:{}{transport}>", self.local_address(protocol))
     }
 
-    // ---- From the sockets -----------------------------------------------------------------------
+    // ---- Socket events --------------------------------------------------------------------------
 
-    /// Datagrams have come.
+    /// Receives datagrams, up to the limit of one iteration of the event loop.
     pub fn datagrams(&mut self, cx: &mut Context) {
-        for _ in 0..DATAGRAMS {
-            let Some((bytes, addr)) = self.transport.datagram() else {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            let Some((bytes, addr)) = self.transport.receive_datagram() else {
                 return;
             };
-            self.message(&bytes, Target { protocol: Protocol::Udp, addr, conn: None }, cx);
+            self.handle_message(&bytes, Target { protocol: Protocol::Udp, addr, conn: None }, cx);
         }
-        self.more_datagrams = true;
+        self.may_have_datagrams = true;
     }
 
-    /// Whether more has come than one turn allows.
+    /// Whether input may be left over from the last iteration of the event loop.
     pub fn has_unread(&self) -> bool {
-        self.more_datagrams || self.transport.has_unread()
+        self.may_have_datagrams || self.transport.has_unread()
     }
 
-    /// Reads on where the last turn left off.
+    /// Reads the input left over from the last iteration.
     pub fn read_on(&mut self, cx: &mut Context) {
-        if std::mem::take(&mut self.more_datagrams) {
+        if std::mem::take(&mut self.may_have_datagrams) {
             self.datagrams(cx);
         }
-        self.transport.accept_on(cx);
-        for token in self.transport.unread() {
+        self.transport.resume_accept(cx);
+        for token in self.transport.take_unread() {
             self.stream(token, cx);
         }
     }
 
-    /// Streams wait to be accepted.
+    /// Accepts waiting connections.
     pub fn accept(&mut self, cx: &mut Context) {
         self.transport.accept(cx);
     }
 
-    /// A stream can be read or written.
+    /// Handles a stream that is readable or writable.
     pub fn stream(&mut self, token: Token, cx: &mut Context) {
-        let (messages, end) = self.transport.read(token, cx);
+        let (messages, end_reason) = self.transport.read(token, cx);
         if let Some(addr) = self.transport.peer(token) {
             for bytes in messages {
-                self.message(&bytes, Target { protocol: Protocol::Tcp, addr, conn: Some(token) }, cx);
+                self.handle_message(
+                    &bytes,
+                    Target { protocol: Protocol::Tcp, addr, conn: Some(token) },
+                    cx,
+                );
             }
         }
-        if let Some(end) = end {
-            self.stream_ended(token, end, cx);
+        if let Some(end_reason) = end_reason {
+            self.stream_ended(token, end_reason, cx);
         }
     }
 
-    /// A stream should be up, or have been heard, by now.
+    /// Handles a timeout of a stream.
     pub fn stream_due(&mut self, token: Token, cx: &mut Context) {
-        if let Some(end) = self.transport.stream_due(token, cx) {
-            self.stream_ended(token, end, cx);
+        if let Some(end_reason) = self.transport.stream_due(token, cx) {
+            self.stream_ended(token, end_reason, cx);
         }
     }
 
-    /// Ends the streams that broke while something was sent.
+    /// Closes the streams that failed while a message was sent.
     pub fn reap(&mut self, cx: &mut Context) {
-        for (token, end) in self.transport.broken() {
-            self.stream_ended(token, end, cx);
+        for (token, end_reason) in self.transport.take_failed() {
+            self.stream_ended(token, end_reason, cx);
         }
     }
 
-    /// A stream that ends takes the set-ups on it with it; dialogs belong to no connection.
-    fn stream_ended(&mut self, token: Token, end: EndReason, cx: &mut Context) {
-        let Some(peer) = self.transport.peer(token) else {
+    /// Closes a stream and ends the unanswered calls on it. Established calls stay, since a dialog is not bound to a
+    /// connection.
+    fn stream_ended(&mut self, stream_token: Token, end_reason: EndReason, cx: &mut Context) {
+        let Some(peer) = self.transport.peer(stream_token) else {
             return;
         };
-        if end != EndReason::PeerClosed {
-            cx.log.line(cx.now, "sip-stream-ended", format_args!("{peer}: {end}"));
+        if end_reason != EndReason::PeerClosed {
+            cx.log.line(cx.now, "sip-stream-ended", format_args!("{peer}: {end_reason}"));
         }
-        self.transport.close(token, cx);
-        let on_it = |l: &Leg| l.state == State::Ringing && l.dialog.target.conn == Some(token);
-        let ended: Vec<_> =
-            self.legs.iter().filter(|(_, l)| on_it(l)).map(|(t, l)| (t, l.party)).collect();
-        for (leg, party) in ended {
-            self.over(leg, cx);
+        self.transport.close(stream_token, cx);
+        let is_pending_on_stream =
+            |leg: &Leg| leg.state == LegState::Pending && leg.dialog.next_hop.conn == Some(stream_token);
+        let ended_legs: Vec<_> = self
+            .legs
+            .iter()
+            .filter(|(_, leg)| is_pending_on_stream(leg))
+            .map(|(leg_token, leg)| (leg_token, leg.party))
+            .collect();
+        for (leg_token, party) in ended_legs {
+            self.terminate_leg(leg_token, cx);
             match party {
                 Party::Caller(call) => cx.engine.caller_ended(cx.now, call, cx.timers),
-                Party::Exchange(attempt) => cx.engine.attempt_ended(cx.now, attempt, end, cx.timers),
+                Party::Exchange(attempt) => {
+                    cx.engine.attempt_ended(cx.now, attempt, end_reason, cx.timers)
+                }
             }
         }
     }
 
-    fn message(&mut self, bytes: &[u8], source: Target, cx: &mut Context) {
+    /// Handles a received message. Blank ones are keep-alives and are ignored.
+    fn handle_message(&mut self, bytes: &[u8], source: Target, cx: &mut Context) {
         if bytes.iter().all(|b| b.is_ascii_whitespace()) {
             return;
         }
         match message::parse(bytes) {
-            Ok(mut m) => match m.method().cloned() {
+            Ok(mut message) => match message.method().cloned() {
                 Some(method) => {
-                    let source = m.arrived(source);
-                    self.request(m, method, source, cx)
+                    let source = message.record_source(source);
+                    self.handle_request(message, method, source, cx)
                 }
-                None => self.response(m, cx),
+                None => self.handle_response(message, cx),
             },
-            Err(Malformed::Request(headers, why)) => {
-                cx.log.line(cx.now, "sip-malformed", format_args!("{}: {why}", source.addr));
-                let tag = self.unique();
+            Err(Malformed::Request(headers, error)) => {
+                cx.log.line(cx.now, "sip-malformed", format_args!("{}: {error}", source.addr));
+                let tag = self.random_id();
                 let bytes = message::response(&headers, 400, &tag, &[], "");
                 let _ = self.transport.send(source, &bytes, cx);
             }
-            Err(Malformed::Other(why)) => {
-                cx.log.line(cx.now, "sip-garbage", format_args!("{}: {why}", source.addr));
+            Err(Malformed::Other(error)) => {
+                cx.log.line(cx.now, "sip-garbage", format_args!("{}: {error}", source.addr));
                 if let Some(token) = source.conn {
                     self.stream_ended(token, EndReason::MalformedMessage, cx);
                 }
             }
         }
-        self.send_all(cx);
+        self.process_output(cx);
     }
 
-    /// Sends what the transactions want sent and sets their timers.
-    fn send_all(&mut self, cx: &mut Context) {
-        while !self.output.is_empty() {
-            for output in std::mem::take(&mut self.output) {
+    /// Carries out the actions that the transactions have asked for: sends messages and starts timers.
+    fn process_output(&mut self, cx: &mut Context) {
+        while !self.pending_output.is_empty() {
+            for output in std::mem::take(&mut self.pending_output) {
                 match output {
-                    Output::Wake(at, token, timer) => {
-                        cx.timers.schedule(at, TimerEvent::Sip(SipDue::Timer(token, timer)));
+                    Output::Wake(due_at, transaction, timer) => {
+                        cx.timers.schedule(
+                            due_at,
+                            TimerEvent::Sip(SipDue::TransactionTimer(transaction, timer)),
+                        );
                     }
-                    Output::Send(token, target, bytes) => {
+                    Output::Send(transaction, target, bytes) => {
                         match self.transport.send(target, &bytes, cx) {
                             Ok(conn) => {
-                                if let Some(leg) = self.by_invite.get(&token).copied() {
-                                    if let Some(leg) = self.legs.get_mut(leg) {
-                                        leg.dialog.target.conn = conn.or(leg.dialog.target.conn);
+                                if let Some(leg_token) = self.legs_by_invite.get(&transaction).copied() {
+                                    if let Some(leg) = self.legs.get_mut(leg_token) {
+                                        leg.dialog.next_hop.conn = conn.or(leg.dialog.next_hop.conn);
                                     }
                                 }
                             }
-                            Err(end) => self.failed(token, end, cx),
+                            Err(end_reason) => self.transaction_failed(transaction, end_reason, cx),
                         }
                     }
                 }
@@ -332,38 +369,38 @@
         }
     }
 
-    /// A transaction ended without its response.
-    fn failed(&mut self, token: Token, end: EndReason, cx: &mut Context) {
-        self.transactions.terminate(token);
-        self.by_options.remove(&token);
-        let Some(leg) = self.by_invite.get(&token).copied() else {
+    /// Ends the leg of a transaction that timed out or whose message could not be sent.
+    fn transaction_failed(&mut self, transaction: Token, end_reason: EndReason, cx: &mut Context) {
+        self.transactions.terminate(transaction);
+        self.legs_by_options.remove(&transaction);
+        let Some(leg_token) = self.legs_by_invite.get(&transaction).copied() else {
             return;
         };
-        match self.legs.get(leg).map(|l| (l.party, l.state)) {
-            Some((Party::Exchange(attempt), State::Ringing)) => {
-                self.over(leg, cx);
-                cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
+        match self.legs.get(leg_token).map(|leg| (leg.party, leg.state)) {
+            Some((Party::Exchange(attempt), LegState::Pending)) => {
+                self.terminate_leg(leg_token, cx);
+                cx.engine.attempt_ended(cx.now, attempt, end_reason, cx.timers);
             }
-            Some((Party::Caller(call), State::Ringing | State::Answered)) => {
-                self.over(leg, cx);
+            Some((Party::Caller(call), LegState::Pending | LegState::AwaitingAck)) => {
+                self.terminate_leg(leg_token, cx);
                 cx.engine.caller_ended(cx.now, call, cx.timers);
             }
-            Some(_) => self.over(leg, cx),
+            Some(_) => self.terminate_leg(leg_token, cx),
             None => {}
         }
     }
 
-    /// A deadline of the front is due.
+    /// Handles a timer that is due.
     pub fn due(&mut self, due: SipDue, cx: &mut Context) {
         match due {
-            SipDue::Timer(token, timer) => {
-                if self.transactions.due(cx.now, token, timer, &mut self.output) {
-                    self.failed(token, EndReason::TimedOut, cx);
+            SipDue::TransactionTimer(transaction, timer) => {
+                if self.transactions.due(cx.now, transaction, timer, &mut self.pending_output) {
+                    self.transaction_failed(transaction, EndReason::TimedOut, cx);
                 }
             }
-            SipDue::AnswerAgain(leg) => self.answer_again(leg, cx),
-            SipDue::Forget(leg) => self.forget(leg),
+            SipDue::RetransmitAnswer(leg_token) => self.retransmit_answer(leg_token, cx),
+            SipDue::RemoveLeg(leg_token) => self.remove_leg(leg_token),
         }
-        self.send_all(cx);
+        self.process_output(cx);
     }
 }
--- a/node/src/net/sip/transaction.rs
+++ b/node/src/net/sip/transaction.rs
@@ -1,5 +1,7 @@
-//! The transactions of RFC 3261, section 17, with the Accepted states of RFC 6026: what is sent again, what
-//! is absorbed, and when a transaction is over. No sockets here; all output is in [`Output`].
+//! The client and server transactions of RFC 3261, section 17, with the Accepted states of RFC 6026:
+//! retransmission, absorption of received retransmissions, and timeouts. This module does no I/O; it returns
+//! what has to be done as [`Output`]. "TU" is the transaction user of RFC 3261: here, the code that handles legs
+//! and dialogs.
 
 use super::message::{self, Message};
 use crate::arena::{Arena, Token};
@@ -9,154 +11,156 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How a message travels.
+/// The transport protocol of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Protocol {
-    /// Datagrams, with retransmissions.
+    /// Datagrams; the transactions retransmit lost messages.
     Udp,
-    /// A stream.
+    /// A byte stream; TCP itself retransmits.
     Tcp,
 }
 
-/// Where a message goes: over TCP on the connection where that is known and still there, else on one to
-/// the address.
+/// Destination of a message. Over TCP, the message is sent on the given connection if that is still open, and
+/// otherwise on any connection to the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// How.
+    /// The transport protocol.
     pub protocol: Protocol,
-    /// Where to.
+    /// The address.
     pub addr: SocketAddr,
-    /// On which connection.
+    /// The TCP connection, if known.
     pub conn: Option<Token>,
 }
 
-/// The base times of RFC 3261.
+/// The base timer values of RFC 3261.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// Round-trip estimate.
+    /// Estimate of the round-trip time.
     pub t1: Duration,
-    /// Longest retransmission interval of requests but INVITE, and of responses to INVITE.
+    /// Maximum retransmission interval of non-INVITE requests and of responses to INVITE.
     pub t2: Duration,
-    /// How long a message stays in the network.
+    /// Maximum time that a message stays in the network.
     pub t4: Duration,
 }
 
 impl Times {
-    /// How long a transaction waits: 64 times T1.
-    pub fn transaction(&self) -> Duration {
+    /// Timeout of a transaction: 64 times T1.
+    pub fn transaction_timeout(&self) -> Duration {
         self.t1 * 64
     }
 }
 
-/// The timers, by their names in RFC 3261 (table 4) and RFC 6026.
+/// The timers, under their names in RFC 3261 (table 4) and RFC 6026.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// INVITE is sent again.
+    /// Retransmits an INVITE.
     A,
-    /// INVITE has had no response.
+    /// Timeout of an INVITE without any response.
     B,
-    /// Responses to INVITE are no longer absorbed.
+    /// Ends the wait for retransmissions of a non-2xx final response to an INVITE.
     D,
-    /// Another request is sent again.
+    /// Retransmits a non-INVITE request.
     E,
-    /// Another request has had no final response.
+    /// Timeout of a non-INVITE request without a final response.
     F,
-    /// The response to INVITE is sent again.
+    /// Retransmits a non-2xx final response to an INVITE.
     G,
-    /// No ACK has come.
+    /// Timeout of a non-2xx final response without an ACK.
     H,
-    /// ACKs are no longer absorbed.
+    /// Ends the wait for retransmissions of an ACK.
     I,
-    /// Other requests are no longer absorbed.
+    /// Ends the wait for retransmissions of a non-INVITE request.
     J,
-    /// Other responses are no longer absorbed.
+    /// Ends the wait for retransmissions of a final response to a non-INVITE request.
     K,
-    /// INVITEs after a 2xx are no longer absorbed.
+    /// Ends the wait for retransmissions of an INVITE that was answered with a 2xx.
     L,
-    /// 2xx responses are no longer passed on.
+    /// Ends the wait for further 2xx responses to an INVITE, which are passed on to the TU.
     M,
 }
 
+/// The four kinds of transaction of RFC 3261.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    ClientInvite,
-    Client,
-    ServerInvite,
-    Server,
+    InviteClient,
+    NonInviteClient,
+    InviteServer,
+    NonInviteServer,
 }
 
-/// The states; a transaction that is terminated is out of the table.
+/// State of a transaction. A terminated transaction is no longer in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Calling, or Trying.
-    Waiting,
+    /// No response received or sent yet; the RFC calls this Calling for an INVITE client transaction.
+    Trying,
     Proceeding,
     Completed,
     Confirmed,
     Accepted,
 }
 
-/// What the transactions want done.
+/// An action that a transaction asks for.
 #[derive(Debug)]
 pub enum Output {
-    /// Send the bytes, for this transaction.
+    /// Send these bytes for this transaction.
     Send(Token, Target, Rc<[u8]>),
-    /// Wake the transaction then.
+    /// Start a timer of this transaction that is due at this time.
     Wake(Duration, Token, Timer),
 }
 
-/// What a received message comes to.
+/// How a received message was classified.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// A request in a new server transaction.
+    /// A new request, with the server transaction created for it.
     Request(Token),
-    /// A response that the user of the client transaction wants to see.
+    /// A response that the TU has to process, with its client transaction.
     Response(Token),
-    /// An ACK that belongs to no transaction: that of a 2xx.
+    /// The ACK of a 2xx. It is for the dialog, since it belongs to no transaction (RFC 3261, section 17).
     Ack,
-    /// Dealt with: a retransmission, or the ACK of a refusal.
+    /// Fully processed here: a retransmission, or the ACK of a non-2xx final response.
     Absorbed,
-    /// A response that belongs to nothing.
+    /// A response that matches no client transaction.
     Stray,
-    /// A new request for which there is no room: to be answered without a transaction, if at all.
+    /// A new request above the limit of transactions. Any response has to be sent without a transaction.
     Full,
 }
 
+/// A client or server transaction.
 struct Transaction {
     kind: Kind,
     state: State,
     target: Target,
     key: Key,
-    /// What was sent last, to be sent again.
-    last: Rc<[u8]>,
-    interval: Duration,
-    /// Its user has given it up: it only waits for what may still come.
-    hushed: bool,
-    /// Of a client transaction: what an ACK or CANCEL repeats.
-    sent: Option<Rc<Sent>>,
+    /// The last message sent, for retransmission. Empty in a server transaction before its first response.
+    last_message: Rc<[u8]>,
+    retransmit_interval: Duration,
+    /// The TU has abandoned the request: it is not retransmitted, but responses are still processed.
+    retransmission_stopped: bool,
+    /// INVITE client transaction: what its ACK or CANCEL repeats.
+    sent_invite: Option<Rc<Sent>>,
 }
 
-/// What an ACK or a CANCEL repeats of its INVITE.
+/// The parts of a sent INVITE that its CANCEL, or the ACK of a non-2xx final response, repeats.
 #[derive(Debug)]
 pub struct Sent {
     /// The request URI.
     pub uri: String,
-    /// The Via, with its branch.
+    /// The topmost Via, with its branch parameter.
     pub via: String,
-    /// From, To and Call-ID.
+    /// The From header field.
     pub from: String,
-    /// From, To and Call-ID.
+    /// The To header field.
     pub to: String,
-    /// From, To and Call-ID.
+    /// The Call-ID header field.
     pub call_id: String,
-    /// The number in CSeq.
+    /// The sequence number in CSeq.
     pub cseq: u32,
-    /// The Route headers.
+    /// The Route header fields.
     pub routes: Vec<String>,
 }
 
 impl Sent {
-    /// Writes the ACK of a refusal (with the To of the response) or the CANCEL.
+    /// Writes the ACK of a non-2xx final response (`to` is the To of that response) or the CANCEL.
     pub fn follow_up(&self, method: &str, to: &str) -> Vec<u8> {
         let cseq = format!("{} {method}", self.cseq);
         let mut headers = vec![("Via", self.via.as_str()), ("Max-Forwards", "70"), ("From", &self.from)];
@@ -166,169 +170,186 @@
     }
 }
 
-/// What tells transactions apart, by section 17.1.3 and 17.2.3. A branch without the magic cookie comes
-/// from a sender of RFC 2543: then Call-ID, CSeq and the From tag stand in for it.
+/// Identifies a transaction (RFC 3261, sections 17.1.3 and 17.2.3). A branch without the magic cookie comes from
+/// an RFC 2543 sender and need not be unique; Call-ID, CSeq number and From tag then replace it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Key {
-    client: bool,
+    is_client: bool,
     branch: String,
     method: String,
 }
 
-fn server_key(m: &Message, method: &Method) -> Key {
-    let sent_by = format!("{:?}", m.via.sent_by);
-    let branch = match m.branch() {
+/// The key of the server transaction of a request. An ACK belongs to the transaction of its INVITE.
+fn server_key(message: &Message, method: &Method) -> Key {
+    let sent_by = format!("{:?}", message.via.sent_by);
+    let branch = match message.branch() {
         b if b.starts_with("z9hG4bK") => format!("{b} {sent_by}"),
         _ => {
-            let tag = m.from.tag.as_ref().map_or("", |t| t);
-            format!("{} {} {tag} {sent_by}", m.call_id, m.cseq.cseq)
+            let tag = message.from.tag.as_ref().map_or("", |t| t);
+            format!("{} {} {tag} {sent_by}", message.call_id, message.cseq.cseq)
         }
     };
     let method = if *method == Method::ACK { Method::INVITE } else { method.clone() };
-    Key { client: false, branch, method: method.to_string() }
+    Key { is_client: false, branch, method: method.to_string() }
 }
 
-/// All transactions.
+/// The table of all client and server transactions.
 pub struct Transactions {
     times: Times,
-    /// Most transactions; requests of others beyond it are not taken. Over UDP each is kept for 64 times T1.
-    most: usize,
+    /// Maximum number of transactions. Above it, new requests received are rejected, since over UDP each would be
+    /// kept for 64 times T1. Requests sent from here are not limited.
+    max_transactions: usize,
     table: Arena<Transaction>,
-    keys: HashMap<Key, Token>,
+    tokens_by_key: HashMap<Key, Token>,
 }
 
 impl Transactions {
-    /// No transactions yet.
-    pub fn new(times: Times, most: usize) -> Self {
-        Transactions { times, most, table: Arena::default(), keys: HashMap::new() }
+    /// Creates an empty table.
+    pub fn new(times: Times, max_transactions: usize) -> Self {
+        Transactions { times, max_transactions, table: Arena::default(), tokens_by_key: HashMap::new() }
     }
 
-    fn add(&mut self, transaction: Transaction) -> Token {
+    fn insert(&mut self, transaction: Transaction) -> Token {
         let key = transaction.key.clone();
         let token = self.table.insert(transaction);
-        self.keys.insert(key, token);
+        self.tokens_by_key.insert(key, token);
         token
     }
 
-    /// Ends a transaction.
+    /// Removes a transaction from the table.
     pub fn terminate(&mut self, token: Token) {
-        if let Some(t) = self.table.remove(token) {
-            if self.keys.get(&t.key) == Some(&token) {
-                self.keys.remove(&t.key);
+        if let Some(transaction) = self.table.remove(token) {
+            if self.tokens_by_key.get(&transaction.key) == Some(&token) {
+                self.tokens_by_key.remove(&transaction.key);
             }
         }
     }
 
-    /// Sends a request in a new client transaction.
+    /// Sends a request in a new client transaction. `sent_invite` is needed for an INVITE only.
     pub fn request(
         &mut self,
         now: Duration,
         method: &str,
         branch: &str,
         bytes: Vec<u8>,
-        (target, sent): (Target, Option<Rc<Sent>>),
-        out: &mut Vec<Output>,
+        (target, sent_invite): (Target, Option<Rc<Sent>>),
+        output: &mut Vec<Output>,
     ) -> Token {
-        let invite = method == "INVITE";
-        let key = Key { client: true, branch: branch.to_owned(), method: method.to_owned() };
-        let kind = if invite { Kind::ClientInvite } else { Kind::Client };
-        let (last, interval): (Rc<[u8]>, _) = (bytes.into(), self.times.t1);
-        let state = State::Waiting;
-        let token = self.add(Transaction {
+        let is_invite = method == "INVITE";
+        let key = Key { is_client: true, branch: branch.to_owned(), method: method.to_owned() };
+        let kind = if is_invite { Kind::InviteClient } else { Kind::NonInviteClient };
+        let (last_message, retransmit_interval): (Rc<[u8]>, _) = (bytes.into(), self.times.t1);
+        let state = State::Trying;
+        let token = self.insert(Transaction {
             kind,
             state,
             target,
             key,
-            last: Rc::clone(&last),
-            interval,
-            hushed: false,
-            sent,
+            last_message: Rc::clone(&last_message),
+            retransmit_interval,
+            retransmission_stopped: false,
+            sent_invite,
         });
-        out.push(Output::Send(token, target, last));
+        output.push(Output::Send(token, target, last_message));
         if target.protocol == Protocol::Udp {
-            let again = if invite { Timer::A } else { Timer::E };
-            out.push(Output::Wake(now + interval, token, again));
+            let retransmit_timer = if is_invite { Timer::A } else { Timer::E };
+            output.push(Output::Wake(now + retransmit_interval, token, retransmit_timer));
         }
-        let over = if invite { Timer::B } else { Timer::F };
-        out.push(Output::Wake(now + self.times.transaction(), token, over));
+        let timeout_timer = if is_invite { Timer::B } else { Timer::F };
+        output.push(Output::Wake(now + self.times.transaction_timeout(), token, timeout_timer));
         token
     }
 
-    /// Takes in a response.
-    pub fn response(&mut self, now: Duration, m: &Message, out: &mut Vec<Output>) -> Taken {
-        let key = Key { client: true, branch: m.branch().to_owned(), method: m.cseq.method.to_string() };
-        let (Some(token), Some(status)) = (self.keys.get(&key).copied(), m.status()) else {
+    /// Processes a received response.
+    pub fn response(&mut self, now: Duration, message: &Message, output: &mut Vec<Output>) -> Taken {
+        let key = Key {
+            is_client: true,
+            branch: message.branch().to_owned(),
+            method: message.cseq.method.to_string(),
+        };
+        let (Some(token), Some(status)) = (self.tokens_by_key.get(&key).copied(), message.status())
+        else {
             return Taken::Stray;
         };
-        let Some(t) = self.table.get_mut(token) else {
+        let Some(transaction) = self.table.get_mut(token) else {
             return Taken::Stray;
         };
-        let udp = t.target.protocol == Protocol::Udp;
-        match (t.kind, t.state, status) {
-            (_, State::Waiting | State::Proceeding, 100..=199) => {
-                t.state = State::Proceeding;
+        let is_udp = transaction.target.protocol == Protocol::Udp;
+        match (transaction.kind, transaction.state, status) {
+            (_, State::Trying | State::Proceeding, 100..=199) => {
+                transaction.state = State::Proceeding;
                 Taken::Response(token)
             }
-            (Kind::ClientInvite, State::Waiting | State::Proceeding, 200..=299) => {
-                t.state = State::Accepted;
-                out.push(Output::Wake(now + self.times.transaction(), token, Timer::M));
+            (Kind::InviteClient, State::Trying | State::Proceeding, 200..=299) => {
+                transaction.state = State::Accepted;
+                output.push(Output::Wake(now + self.times.transaction_timeout(), token, Timer::M));
                 Taken::Response(token)
             }
-            (Kind::ClientInvite, State::Accepted, 200..=299) => Taken::Response(token),
-            (Kind::ClientInvite, State::Waiting | State::Proceeding, _) => {
-                t.state = State::Completed;
-                // Timer D: 32 s at least over UDP, nothing over TCP.
-                let wait = if udp { self.times.transaction() } else { Duration::ZERO };
-                out.push(Output::Wake(now + wait, token, Timer::D));
-                Self::acknowledge(token, t, m, out);
+            (Kind::InviteClient, State::Accepted, 200..=299) => Taken::Response(token),
+            (Kind::InviteClient, State::Trying | State::Proceeding, _) => {
+                transaction.state = State::Completed;
+                // RFC 3261 requires at least 32 s for timer D over UDP (64 times the default T1), and zero over TCP.
+                let wait = if is_udp { self.times.transaction_timeout() } else { Duration::ZERO };
+                output.push(Output::Wake(now + wait, token, Timer::D));
+                Self::send_ack(token, transaction, message, output);
                 Taken::Response(token)
             }
-            (Kind::ClientInvite, State::Completed, 300..) => {
-                Self::acknowledge(token, t, m, out);
+            (Kind::InviteClient, State::Completed, 300..) => {
+                Self::send_ack(token, transaction, message, output);
                 Taken::Absorbed
             }
-            (Kind::Client, State::Waiting | State::Proceeding, _) => {
-                t.state = State::Completed;
-                let wait = if udp { self.times.t4 } else { Duration::ZERO };
-                out.push(Output::Wake(now + wait, token, Timer::K));
+            (Kind::NonInviteClient, State::Trying | State::Proceeding, _) => {
+                transaction.state = State::Completed;
+                let wait = if is_udp { self.times.t4 } else { Duration::ZERO };
+                output.push(Output::Wake(now + wait, token, Timer::K));
                 Taken::Response(token)
             }
             _ => Taken::Absorbed,
         }
     }
 
-    fn acknowledge(token: Token, t: &Transaction, m: &Message, out: &mut Vec<Output>) {
-        if let (Some(sent), Some(to)) = (&t.sent, m.header(Name::TO)) {
-            out.push(Output::Send(token, t.target, sent.follow_up("ACK", to).into()));
+    /// Sends the ACK of a non-2xx final response.
+    fn send_ack(token: Token, transaction: &Transaction, message: &Message, output: &mut Vec<Output>) {
+        if let (Some(sent_invite), Some(to)) = (&transaction.sent_invite, message.header(Name::TO)) {
+            output.push(Output::Send(
+                token,
+                transaction.target,
+                sent_invite.follow_up("ACK", to).into(),
+            ));
         }
     }
 
-    /// Takes in a request.
+    /// Processes a received request.
     pub fn take_request(
         &mut self,
         now: Duration,
-        m: &Message,
+        message: &Message,
         method: &Method,
         source: Target,
-        out: &mut Vec<Output>,
+        output: &mut Vec<Output>,
     ) -> Taken {
-        let key = server_key(m, method);
-        if let Some(token) = self.keys.get(&key).copied() {
-            let Some(t) = self.table.get_mut(token) else {
+        let key = server_key(message, method);
+        if let Some(token) = self.tokens_by_key.get(&key).copied() {
+            let Some(transaction) = self.table.get_mut(token) else {
                 return Taken::Absorbed;
             };
-            match (t.kind, t.state) {
-                (Kind::ServerInvite, State::Completed) if *method == Method::ACK => {
-                    t.state = State::Confirmed;
-                    let udp = t.target.protocol == Protocol::Udp;
-                    let wait = if udp { self.times.t4 } else { Duration::ZERO };
-                    out.push(Output::Wake(now + wait, token, Timer::I));
+            match (transaction.kind, transaction.state) {
+                (Kind::InviteServer, State::Completed) if *method == Method::ACK => {
+                    transaction.state = State::Confirmed;
+                    let is_udp = transaction.target.protocol == Protocol::Udp;
+                    let wait = if is_udp { self.times.t4 } else { Duration::ZERO };
+                    output.push(Output::Wake(now + wait, token, Timer::I));
                 }
-                (Kind::ServerInvite, State::Accepted) if *method == Method::ACK => return Taken::Ack,
-                // The 2xx is sent again by the dialog; all else is answered as before.
-                (Kind::ServerInvite, State::Confirmed | State::Accepted) => {}
-                _ if *method != Method::ACK && !t.last.is_empty() => {
-                    out.push(Output::Send(token, t.target, Rc::clone(&t.last)));
+                (Kind::InviteServer, State::Accepted) if *method == Method::ACK => return Taken::Ack,
+                // Accepted: the TU retransmits the 2xx. Confirmed: the ACK has arrived, nothing is retransmitted.
+                // In all other states a retransmitted request is answered with the last response again.
+                (Kind::InviteServer, State::Confirmed | State::Accepted) => {}
+                _ if *method != Method::ACK && !transaction.last_message.is_empty() => {
+                    output.push(Output::Send(
+                        token,
+                        transaction.target,
+                        Rc::clone(&transaction.last_message),
+                    ));
                 }
                 _ => {}
             }
@@ -337,121 +358,131 @@
         if *method == Method::ACK {
             return Taken::Ack;
         }
-        if self.table.len() >= self.most {
+        if self.table.len() >= self.max_transactions {
             return Taken::Full;
         }
-        let kind = if *method == Method::INVITE { Kind::ServerInvite } else { Kind::Server };
-        let (state, interval, last) = (State::Waiting, self.times.t1, Rc::from([]));
-        Taken::Request(self.add(Transaction {
+        let kind = if *method == Method::INVITE { Kind::InviteServer } else { Kind::NonInviteServer };
+        let (state, retransmit_interval, last_message) = (State::Trying, self.times.t1, Rc::from([]));
+        Taken::Request(self.insert(Transaction {
             kind,
             state,
             target: source,
             key,
-            last,
-            interval,
-            hushed: false,
-            sent: None,
+            last_message,
+            retransmit_interval,
+            retransmission_stopped: false,
+            sent_invite: None,
         }))
     }
 
-    /// The INVITE transaction that a CANCEL is meant for, while it has no final response.
-    pub fn cancelled(&self, cancel: &Message) -> Option<Token> {
-        let token = *self.keys.get(&server_key(cancel, &Method::INVITE))?;
+    /// The server transaction of the INVITE that a CANCEL refers to. It may have sent its final response already.
+    pub fn invite_of_cancel(&self, cancel: &Message) -> Option<Token> {
+        let token = *self.tokens_by_key.get(&server_key(cancel, &Method::INVITE))?;
         Some(token)
     }
 
-    /// Whether a server transaction still owes its final response.
-    pub fn is_owed(&self, token: Token) -> bool {
-        self.table.get(token).is_some_and(|t| matches!(t.state, State::Waiting | State::Proceeding))
+    /// Whether a server transaction has not sent its final response yet.
+    pub fn awaits_final_response(&self, token: Token) -> bool {
+        self.table.get(token).is_some_and(|t| matches!(t.state, State::Trying | State::Proceeding))
     }
 
-    /// Whether a client transaction has had a provisional response and no final one.
+    /// Whether a client transaction has received a provisional response but no final one.
     pub fn is_proceeding(&self, token: Token) -> bool {
         self.table.get(token).is_some_and(|t| t.state == State::Proceeding)
     }
 
-    /// An INVITE given up before any response is not sent again: what has reached the exchange may still be
-    /// answered, but a retransmission would be a new attempt.
+    /// Stops the retransmission of an INVITE that was abandoned before any response. A copy that has reached the
+    /// exchange may still be answered, but a retransmission could be the first to reach it and start a new attempt.
     pub fn hush(&mut self, token: Token) {
-        if let Some(t) = self.table.get_mut(token) {
-            t.hushed = true;
+        if let Some(transaction) = self.table.get_mut(token) {
+            transaction.retransmission_stopped = true;
         }
     }
 
-    /// Whether a request but INVITE still waits for its final response.
-    pub fn is_waiting(&self) -> bool {
-        let waits = |t: &Transaction| matches!(t.state, State::Waiting | State::Proceeding);
-        self.table.iter().any(|(_, t)| t.kind == Kind::Client && waits(t))
+    /// Whether a non-INVITE request that was sent from here has no final response yet.
+    pub fn has_pending_requests(&self) -> bool {
+        let is_pending = |t: &Transaction| matches!(t.state, State::Trying | State::Proceeding);
+        self.table.iter().any(|(_, t)| t.kind == Kind::NonInviteClient && is_pending(t))
     }
 
-    /// Sends a response in a server transaction; a final one only once.
+    /// Sends a response in a server transaction. After a final response, further ones are ignored.
     pub fn respond(
         &mut self,
         now: Duration,
         token: Token,
         status: u16,
         bytes: Vec<u8>,
-        out: &mut Vec<Output>,
+        output: &mut Vec<Output>,
     ) {
-        let Some(t) = self.table.get_mut(token) else {
+        let Some(transaction) = self.table.get_mut(token) else {
             return;
         };
-        if !matches!(t.state, State::Waiting | State::Proceeding) {
+        if !matches!(transaction.state, State::Trying | State::Proceeding) {
             return;
         }
-        t.last = bytes.into();
-        out.push(Output::Send(token, t.target, Rc::clone(&t.last)));
-        let udp = t.target.protocol == Protocol::Udp;
-        let whole = self.times.transaction();
-        match (t.kind, status) {
-            (_, 100..=199) => t.state = State::Proceeding,
-            (Kind::ServerInvite, 200..=299) => {
-                t.state = State::Accepted;
-                out.push(Output::Wake(now + whole, token, Timer::L));
+        transaction.last_message = bytes.into();
+        output.push(Output::Send(token, transaction.target, Rc::clone(&transaction.last_message)));
+        let is_udp = transaction.target.protocol == Protocol::Udp;
+        let transaction_timeout = self.times.transaction_timeout();
+        match (transaction.kind, status) {
+            (_, 100..=199) => transaction.state = State::Proceeding,
+            (Kind::InviteServer, 200..=299) => {
+                transaction.state = State::Accepted;
+                output.push(Output::Wake(now + transaction_timeout, token, Timer::L));
             }
-            (Kind::ServerInvite, _) => {
-                t.state = State::Completed;
-                if udp {
-                    out.push(Output::Wake(now + self.times.t1, token, Timer::G));
+            (Kind::InviteServer, _) => {
+                transaction.state = State::Completed;
+                if is_udp {
+                    output.push(Output::Wake(now + self.times.t1, token, Timer::G));
                 }
-                out.push(Output::Wake(now + whole, token, Timer::H));
+                output.push(Output::Wake(now + transaction_timeout, token, Timer::H));
             }
             _ => {
-                t.state = State::Completed;
-                let wait = if udp { whole } else { Duration::ZERO };
-                out.push(Output::Wake(now + wait, token, Timer::J));
+                transaction.state = State::Completed;
+                let wait = if is_udp { transaction_timeout } else { Duration::ZERO };
+                output.push(Output::Wake(now + wait, token, Timer::J));
             }
         }
     }
 
-    /// A timer is due. True if the transaction has ended without what it waited for.
-    pub fn due(&mut self, now: Duration, token: Token, timer: Timer, out: &mut Vec<Output>) -> bool {
-        let Some(t) = self.table.get_mut(token) else {
+    /// Handles a timer that is due. Returns true if the transaction ended without the response or the ACK that it
+    /// was waiting for.
+    pub fn due(&mut self, now: Duration, token: Token, timer: Timer, output: &mut Vec<Output>) -> bool {
+        let Some(transaction) = self.table.get_mut(token) else {
             return false;
         };
-        let waits = matches!(t.state, State::Waiting | State::Proceeding);
-        match (timer, t.state) {
-            (Timer::A, _) if t.hushed => {}
-            (Timer::A, State::Waiting) | (Timer::G, State::Completed) => {
-                let most = if timer == Timer::A { Duration::MAX } else { self.times.t2 };
-                t.interval = (t.interval * 2).min(most);
-                out.push(Output::Send(token, t.target, Rc::clone(&t.last)));
-                out.push(Output::Wake(now + t.interval, token, timer));
+        let is_pending = matches!(transaction.state, State::Trying | State::Proceeding);
+        match (timer, transaction.state) {
+            (Timer::A, _) if transaction.retransmission_stopped => {}
+            (Timer::A, State::Trying) | (Timer::G, State::Completed) => {
+                let max_interval = if timer == Timer::A { Duration::MAX } else { self.times.t2 };
+                transaction.retransmit_interval =
+                    (transaction.retransmit_interval * 2).min(max_interval);
+                output.push(Output::Send(
+                    token,
+                    transaction.target,
+                    Rc::clone(&transaction.last_message),
+                ));
+                output.push(Output::Wake(now + transaction.retransmit_interval, token, timer));
             }
-            (Timer::E, _) if waits => {
-                t.interval = match t.state {
+            (Timer::E, _) if is_pending => {
+                transaction.retransmit_interval = match transaction.state {
                     State::Proceeding => self.times.t2,
-                    _ => (t.interval * 2).min(self.times.t2),
+                    _ => (transaction.retransmit_interval * 2).min(self.times.t2),
                 };
-                out.push(Output::Send(token, t.target, Rc::clone(&t.last)));
-                out.push(Output::Wake(now + t.interval, token, timer));
+                output.push(Output::Send(
+                    token,
+                    transaction.target,
+                    Rc::clone(&transaction.last_message),
+                ));
+                output.push(Output::Wake(now + transaction.retransmit_interval, token, timer));
             }
-            // Once a provisional response has come, INVITE waits for as long as its user does.
-            (Timer::B, State::Waiting) | (Timer::H, State::Completed) => {
+            // Timer B does not apply in Proceeding: after a provisional response, the TU decides how long to wait.
+            (Timer::B, State::Trying) | (Timer::H, State::Completed) => {
                 self.terminate(token);
                 return true;
             }
-            (Timer::F, _) if waits => {
+            (Timer::F, _) if is_pending => {
                 self.terminate(token);
                 return true;
             }
--- a/node/src/net/sip/transport.rs
+++ b/node/src/net/sip/transport.rs
@@ -1,4 +1,4 @@
-//! SIP over UDP and TCP: datagrams and streams in, whole messages out.
+//! SIP over UDP and TCP: the sockets, and the splitting of received bytes into complete messages.
 
 use super::message;
 use super::transaction::{Protocol, Target};
@@ -13,21 +13,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream on which nothing has come for this long is closed.
-const IDLE: Duration = Duration::from_secs(180);
-/// Reads of a stream in one turn. What is left is read in the next, after all others have had theirs.
-const READS: usize = 4;
-/// Wait before accepting again when there is no descriptor.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// A stream on which nothing has been received for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(180);
+/// Maximum reads from a stream per iteration of the event loop. The rest is read in the next iteration, so that one
+/// busy stream does not starve the others.
+const MAX_READS_PER_ITERATION: usize = 4;
+/// Delay before accepting again after a failed accept, e.g. when no file descriptor is left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
+/// A TCP connection.
 struct Stream {
     conn: Conn,
     peer: SocketAddr,
-    last_heard: Duration,
-    /// A whole message has come on it, or it was dialled.
-    spoke: bool,
-    /// Since when its first message has been awaited, or another is not whole.
-    awaited: Option<Duration>,
+    last_received_at: Duration,
+    /// A complete message has been received on it, or this side opened it.
+    is_in_use: bool,
+    /// Since when its first message, or the rest of an incomplete message, has been awaited.
+    awaiting_since: Option<Duration>,
 }
 
 /// The sockets of the SIP front.
@@ -36,201 +38,229 @@
     tcp: Option<TcpListener>,
     streams: Arena<Stream>,
     limits: Limits,
-    buffer: Vec<u8>,
-    /// Streams that broke while something was sent.
-    doomed: Vec<(Token, EndReason)>,
-    /// Streams that had more to read than one turn allows.
+    datagram_buffer: Vec<u8>,
+    /// Streams that failed while a message was sent.
+    failed: Vec<(Token, EndReason)>,
+    /// Streams with more to read than one iteration of the event loop allows.
     unread: Vec<Token>,
-    /// More may wait to be accepted than one turn allows.
-    unaccepted: bool,
+    /// More connections than one iteration accepts may be waiting.
+    may_have_connections: bool,
 }
 
 impl Transport {
-    /// Binds the sockets and registers them.
+    /// Binds and registers the sockets.
     pub fn bind(
         udp: Option<SocketAddr>,
         tcp: Option<SocketAddr>,
         limits: Limits,
         registry: &mio::Registry,
     ) -> io::Result<Self> {
-        let none = Token::from_bits(0);
+        let no_token = Token::from_bits(0);
         let mut udp = udp.map(UdpSocket::bind).transpose()?;
         let mut tcp = tcp.map(TcpListener::bind).transpose()?;
         if let Some(socket) = &mut udp {
-            registry.register(socket, SourceKind::SipDatagrams.token(none), Interest::READABLE)?;
+            registry.register(socket, SourceKind::SipDatagrams.token(no_token), Interest::READABLE)?;
         }
         if let Some(listener) = &mut tcp {
-            registry.register(listener, SourceKind::SipListener.token(none), Interest::READABLE)?;
+            registry.register(listener, SourceKind::SipListener.token(no_token), Interest::READABLE)?;
         }
-        let (streams, doomed, unread) = (Arena::default(), Vec::new(), Vec::new());
-        let buffer = vec![0; message::MAX_MESSAGE + 1];
-        let unaccepted = false;
-        Ok(Transport { udp, tcp, streams, limits, buffer, doomed, unread, unaccepted })
+        let (streams, failed, unread) = (Arena::default(), Vec::new(), Vec::new());
+        let datagram_buffer = vec![0; message::MAX_MESSAGE + 1];
+        let may_have_connections = false;
+        Ok(Transport {
+            udp,
+            tcp,
+            streams,
+            limits,
+            datagram_buffer,
+            failed,
+            unread,
+            may_have_connections,
+        })
     }
 
-    /// The own address of a transport.
-    pub fn local(&self, protocol: Protocol) -> Option<SocketAddr> {
+    /// The local address of a transport protocol.
+    pub fn local_addr(&self, protocol: Protocol) -> Option<SocketAddr> {
         match protocol {
             Protocol::Udp => self.udp.as_ref()?.local_addr().ok(),
             Protocol::Tcp => self.tcp.as_ref()?.local_addr().ok(),
         }
     }
 
-    /// The next datagram.
-    pub fn datagram(&mut self) -> Option<(Vec<u8>, SocketAddr)> {
+    /// Receives the next datagram, if there is one.
+    pub fn receive_datagram(&mut self) -> Option<(Vec<u8>, SocketAddr)> {
         let socket = self.udp.as_ref()?;
         loop {
-            match socket.recv_from(&mut self.buffer) {
-                Ok((length, peer)) => return Some((self.buffer[..length].to_vec(), peer)),
+            match socket.recv_from(&mut self.datagram_buffer) {
+                Ok((length, peer)) => return Some((self.datagram_buffer[..length].to_vec(), peer)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
-                // Errors of datagrams sent before come up here and are theirs alone.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                // Reports that a datagram sent earlier was refused; it doesn't concern received datagrams.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Accepts the streams that wait, as far as the turn allows.
+    /// Accepts waiting connections, up to the limit of one iteration of the event loop.
     pub fn accept(&mut self, cx: &mut Context) {
         for _ in 0..ACCEPT_BATCH {
             let Some(listener) = &self.tcp else {
                 return;
             };
             match listener.accept() {
-                Ok((stream, peer)) => drop(self.add(stream, peer, true, cx)),
+                Ok((stream, peer)) => drop(self.add_stream(stream, peer, true, cx)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     cx.log.line(cx.now, "sip-accept-failed", e);
-                    cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::SipAccept);
+                    cx.timers.schedule(cx.now + ACCEPT_RETRY_DELAY, TimerEvent::SipAccept);
                     return;
                 }
             }
         }
-        self.unaccepted = true;
+        self.may_have_connections = true;
     }
 
-    /// Closes the stream that has said nothing for longest since it was accepted.
-    fn make_way(&mut self, cx: &mut Context) {
-        let silent = self.streams.iter().filter(|(_, s)| !s.spoke && s.last_heard < cx.now);
-        if let Some((token, _)) = silent.min_by_key(|(_, s)| s.last_heard) {
+    /// Makes room for another stream: of the accepted streams without a complete message so far, closes the one that
+    /// has been silent for longest.
+    fn close_silent_stream(&mut self, cx: &mut Context) {
+        let silent_streams =
+            self.streams.iter().filter(|(_, s)| !s.is_in_use && s.last_received_at < cx.now);
+        if let Some((token, _)) = silent_streams.min_by_key(|(_, s)| s.last_received_at) {
             self.close(token, cx);
         }
     }
 
-    fn add(&mut self, mut s: TcpStream, peer: SocketAddr, up: bool, cx: &mut Context) -> Option<Token> {
-        let (now, registry, bounds) = (cx.now, cx.registry, self.limits.sip_buffer_limits());
+    /// Registers a stream and starts its first timeout. `is_connected` is true for an accepted stream and false for
+    /// one that is being opened from here. Returns `None` if there is no room for it.
+    fn add_stream(
+        &mut self,
+        mut socket: TcpStream,
+        peer: SocketAddr,
+        is_connected: bool,
+        cx: &mut Context,
+    ) -> Option<Token> {
+        let (now, registry, buffer_limits) = (cx.now, cx.registry, self.limits.sip_buffer_limits());
         if self.streams.len() >= self.limits.sip_streams() {
-            self.make_way(cx);
+            self.close_silent_stream(cx);
         }
         if self.streams.len() >= self.limits.sip_streams() {
-            cx.log.line(now, "sip-too-many-streams", format_args!("{peer} is turned away"));
+            cx.log.line(now, "sip-too-many-streams", format_args!("connection from {peer} is rejected"));
             return None;
         }
         let mut registered = Ok(());
         let token = self.streams.insert_with(|token| {
-            let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut s, SourceKind::SipStream.token(token), both);
-            let awaited = up.then_some(now);
-            Stream { conn: Conn::new(s, bounds, up), peer, last_heard: now, spoke: !up, awaited }
+            let interest = Interest::READABLE | Interest::WRITABLE;
+            registered = registry.register(&mut socket, SourceKind::SipStream.token(token), interest);
+            let awaiting_since = is_connected.then_some(now);
+            Stream {
+                conn: Conn::new(socket, buffer_limits, is_connected),
+                peer,
+                last_received_at: now,
+                is_in_use: !is_connected,
+                awaiting_since,
+            }
         });
         if registered.is_err() {
             self.streams.remove(token);
             return None;
         }
-        let due = if up { MESSAGE_TIMEOUT } else { cx.dial_timeout };
-        cx.timers.schedule(now + due, TimerEvent::SipStream(token));
+        let timeout = if is_connected { MESSAGE_TIMEOUT } else { cx.dial_timeout };
+        cx.timers.schedule(now + timeout, TimerEvent::SipStream(token));
         Some(token)
     }
 
-    /// A stream should be up, or have been heard, by now.
+    /// Handles a timeout of a stream. Returns the reason if the stream has to be closed; otherwise starts the next
+    /// timeout.
     pub fn stream_due(&mut self, token: Token, cx: &mut Context) -> Option<EndReason> {
         let stream = self.streams.get(token)?;
         if !stream.conn.is_connected() {
             return Some(EndReason::DialTimedOut);
         }
-        let due = stream.awaited.map_or(stream.last_heard + IDLE, |since| since + MESSAGE_TIMEOUT);
-        if cx.now >= due {
+        let due_at = stream
+            .awaiting_since
+            .map_or(stream.last_received_at + IDLE_TIMEOUT, |since| since + MESSAGE_TIMEOUT);
+        if cx.now >= due_at {
             return Some(EndReason::PeerSilent);
         }
-        cx.timers.schedule(due, TimerEvent::SipStream(token));
+        cx.timers.schedule(due_at, TimerEvent::SipStream(token));
         None
     }
 
-    /// Reads a stream; the whole messages that have come, and how it ended if it has.
+    /// Reads from a stream. Returns the complete messages received and, if the stream has ended, the reason.
     pub fn read(&mut self, token: Token, cx: &mut Context) -> (Vec<Vec<u8>>, Option<EndReason>) {
         let now = cx.now;
         let mut messages = Vec::new();
         let Some(stream) = self.streams.get_mut(token) else {
             return (messages, None);
         };
-        let mut reads = 0;
-        let end = loop {
-            reads += 1;
-            if reads > READS {
+        let mut read_count = 0;
+        let end_reason = loop {
+            read_count += 1;
+            if read_count > MAX_READS_PER_ITERATION {
                 self.unread.push(token);
                 break None;
             }
             match stream.conn.check_connected() {
                 Ok(true) => {}
                 Ok(false) => break None,
-                Err(end) => break Some(end),
+                Err(end_reason) => break Some(end_reason),
             }
-            let read = stream.conn.flush().and_then(|()| stream.conn.fill());
+            let read_result = stream.conn.flush().and_then(|()| stream.conn.fill());
             let input = stream.conn.received();
-            // Line ends between messages keep a stream alive.
+            // Line ends between messages are keep-alives and are skipped.
             loop {
-                let blank = input.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-                input.drain(..blank);
-                match message::length(input) {
+                let blank_bytes = input.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+                input.drain(..blank_bytes);
+                match message::message_length(input) {
                     Ok(Some(length)) => {
                         messages.push(input.drain(..length).collect());
-                        (stream.spoke, stream.awaited) = (true, None);
+                        (stream.is_in_use, stream.awaiting_since) = (true, None);
                     }
                     Ok(None) => break,
                     Err(_) => return (messages, Some(EndReason::MalformedMessage)),
                 }
             }
-            match read {
+            match read_result {
                 Ok(0) => break None,
-                Ok(_) => stream.last_heard = now,
-                Err(end) => break Some(end),
+                Ok(_) => stream.last_received_at = now,
+                Err(end_reason) => break Some(end_reason),
             }
         };
-        // A message that has begun is to get whole.
-        if stream.spoke && stream.awaited.is_none() && stream.conn.has_partial_line() {
-            stream.awaited = Some(now);
+        // An incomplete message must be completed within the timeout.
+        if stream.is_in_use && stream.awaiting_since.is_none() && stream.conn.has_partial_line() {
+            stream.awaiting_since = Some(now);
             cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::SipStream(token));
         }
-        (messages, end)
+        (messages, end_reason)
     }
 
-    /// Whether a stream has more to read than its last turn allowed, or more wait to be accepted.
+    /// Whether streams or connections are left over from the last iteration of the event loop.
     pub fn has_unread(&self) -> bool {
-        !self.unread.is_empty() || self.unaccepted
+        !self.unread.is_empty() || self.may_have_connections
     }
 
-    /// Accepts on where the last turn left off.
-    pub fn accept_on(&mut self, cx: &mut Context) {
-        if std::mem::take(&mut self.unaccepted) {
+    /// Accepts the connections left over from the last iteration.
+    pub fn resume_accept(&mut self, cx: &mut Context) {
+        if std::mem::take(&mut self.may_have_connections) {
             self.accept(cx);
         }
     }
 
-    /// The streams that had more to read than their last turn allowed.
-    pub fn unread(&mut self) -> Vec<Token> {
+    /// Takes the list of streams with more to read than the last iteration allowed.
+    pub fn take_unread(&mut self) -> Vec<Token> {
         std::mem::take(&mut self.unread)
     }
 
-    /// The peer of a stream.
+    /// The address of a stream's peer.
     pub fn peer(&self, token: Token) -> Option<SocketAddr> {
         self.streams.get(token).map(|s| s.peer)
     }
 
-    /// Sends a message; over TCP on the target's connection, else on any to its address, else on a new one.
-    /// The connection that it went on, or why it could not go.
+    /// Sends a message. Over TCP, uses the target's connection, or else any connection to its address, or else opens
+    /// one. Returns the connection used, or the reason why the message could not be sent.
     pub fn send(
         &mut self,
         target: Target,
@@ -238,7 +268,7 @@
         cx: &mut Context,
     ) -> Result<Option<Token>, EndReason> {
         if target.protocol == Protocol::Udp {
-            // A datagram that can't go now is one lost: the transaction sends again.
+            // A datagram that can't be sent now counts as lost; the transaction retransmits it.
             let socket = self.udp.as_ref().ok_or(EndReason::NoSocket)?;
             return match socket.send_to(bytes, target.addr) {
                 Ok(_) => Ok(None),
@@ -248,26 +278,26 @@
                 Err(_) => Err(EndReason::NoSocket),
             };
         }
-        let known = target.conn.filter(|t| self.streams.get(*t).is_some());
-        let same = || self.streams.iter().find(|(_, s)| s.peer == target.addr).map(|(t, _)| t);
-        let token = match known.or_else(same) {
+        let known_conn = target.conn.filter(|t| self.streams.get(*t).is_some());
+        let conn_to_addr = || self.streams.iter().find(|(_, s)| s.peer == target.addr).map(|(t, _)| t);
+        let token = match known_conn.or_else(conn_to_addr) {
             Some(token) => token,
             None => {
                 let stream = TcpStream::connect(target.addr)
                     .map_err(|e| crate::net::conn::dial_end_reason(e.kind()))?;
-                self.add(stream, target.addr, false, cx).ok_or(EndReason::NoSocket)?
+                self.add_stream(stream, target.addr, false, cx).ok_or(EndReason::NoSocket)?
             }
         };
         let stream = self.streams.get_mut(token).ok_or(EndReason::NoSocket)?;
-        if let Err(end) = stream.conn.send(bytes) {
-            self.doomed.push((token, end));
+        if let Err(end_reason) = stream.conn.send(bytes) {
+            self.failed.push((token, end_reason));
         }
         Ok(Some(token))
     }
 
-    /// Streams that broke while something was sent.
-    pub fn broken(&mut self) -> Vec<(Token, EndReason)> {
-        std::mem::take(&mut self.doomed)
+    /// Takes the list of streams that failed while a message was sent.
+    pub fn take_failed(&mut self) -> Vec<(Token, EndReason)> {
+        std::mem::take(&mut self.failed)
     }
 
     /// Closes a stream.
@@ -277,7 +307,7 @@
         }
     }
 
-    /// Whether all that was sent has been written.
+    /// Whether all messages have been written to the established connections.
     pub fn is_flushed(&self) -> bool {
         self.streams.iter().all(|(_, s)| !s.conn.is_connected() || s.conn.is_flushed())
     }
