--- a/plugin/src/directory.rs
+++ b/plugin/src/directory.rs
@@ -1,93 +1,97 @@
-//! The exchanges of the list, and which of them have lost what they were doing.
+//! The exchanges of the list, and detection of those whose process has terminated.
 
 use slateshed::{ExchangeId, ListEntry, NamedEntry, Phase};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 #[derive(Debug)]
-struct Known {
+struct Exchange {
     name: String,
     phase: Phase,
     started_at: Duration,
 }
 
-/// Exchanges by name and by id. Ids are never used twice.
+/// Exchanges by name and by id. Ids are never reused.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     ids: HashMap<String, ExchangeId>,
-    known: BTreeMap<ExchangeId, Known>,
-    next: u32,
+    exchanges: BTreeMap<ExchangeId, Exchange>,
+    next_id: u32,
 }
 
-/// What news of the list comes to.
+/// The result of applying an update of the list.
 #[derive(Debug, PartialEq)]
-pub(crate) struct Update {
-    /// The lines for the controller.
+pub(crate) struct DirectoryUpdate {
+    /// The entries for the controller.
     pub entries: Vec<ListEntry>,
-    /// Exchanges that are gone or have started anew: whatever was out there is over.
-    pub lost: Vec<ExchangeId>,
+    /// Exchanges that are gone or have restarted: the attempts in flight there are lost.
+    pub terminated: Vec<ExchangeId>,
 }
 
 impl Directory {
-    /// Takes in news of the list: all of it, or changed lines only.
-    pub fn update(&mut self, whole: bool, lines: &[NamedEntry]) -> Update {
-        let mut lost = Vec::new();
-        if whole {
-            for (id, known) in &mut self.known {
-                if known.phase != Phase::Gone && !lines.iter().any(|l| l.name == known.name) {
-                    known.phase = Phase::Gone;
-                    lost.push(*id);
+    /// Applies an update of the list: all entries if `full`, otherwise the changed entries only.
+    pub fn update(&mut self, full: bool, named_entries: &[NamedEntry]) -> DirectoryUpdate {
+        let mut terminated = Vec::new();
+        if full {
+            for (id, exchange) in &mut self.exchanges {
+                if exchange.phase != Phase::Gone
+                    && !named_entries.iter().any(|n| n.name == exchange.name)
+                {
+                    exchange.phase = Phase::Gone;
+                    terminated.push(*id);
                 }
             }
         }
-        let mut entries = Vec::with_capacity(lines.len());
-        for line in lines {
-            let id = self.id_of(line);
-            entries.push(line.entry(id));
-            if let Some(known) = self.known.get_mut(&id) {
-                if line.phase == Phase::Gone || line.started_at > known.started_at {
-                    lost.push(id);
+        let mut entries = Vec::with_capacity(named_entries.len());
+        for named in named_entries {
+            let id = self.id_of(named);
+            entries.push(named.entry(id));
+            if let Some(exchange) = self.exchanges.get_mut(&id) {
+                if named.phase == Phase::Gone || named.started_at > exchange.started_at {
+                    terminated.push(id);
                 }
-                (known.phase, known.started_at) = (line.phase, line.started_at);
+                (exchange.phase, exchange.started_at) = (named.phase, named.started_at);
             }
         }
-        Update { entries, lost }
+        DirectoryUpdate { entries, terminated }
     }
 
-    fn id_of(&mut self, line: &NamedEntry) -> ExchangeId {
-        if let Some(id) = self.ids.get(&line.name) {
+    /// Returns the id of a listed exchange, which is added first if its name is new.
+    fn id_of(&mut self, named: &NamedEntry) -> ExchangeId {
+        if let Some(id) = self.ids.get(&named.name) {
             return *id;
         }
-        let id = ExchangeId(self.next);
-        self.next = self.next.wrapping_add(1);
-        self.ids.insert(line.name.clone(), id);
-        let known = Known { name: line.name.clone(), phase: line.phase, started_at: line.started_at };
-        self.known.insert(id, known);
+        let id = ExchangeId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        self.ids.insert(named.name.clone(), id);
+        let exchange =
+            Exchange { name: named.name.clone(), phase: named.phase, started_at: named.started_at };
+        self.exchanges.insert(id, exchange);
         id
     }
 
-    /// Forgets the exchanges that are gone and where nothing is out any more: they are replaced under other names, so
-    /// whoever keeps them grows for as long as it runs.
-    pub fn forget_gone(&mut self, is_used: impl Fn(ExchangeId) -> bool) {
-        self.known.retain(|id, known| known.phase != Phase::Gone || is_used(*id));
-        let known = &self.known;
-        self.ids.retain(|_, id| known.contains_key(id));
+    /// Removes the exchanges that are gone and not in use. Replacements come under new names, so the directory would
+    /// otherwise grow for as long as the process runs.
+    pub fn remove_gone(&mut self, is_used: impl Fn(ExchangeId) -> bool) {
+        self.exchanges.retain(|id, exchange| exchange.phase != Phase::Gone || is_used(*id));
+        let exchanges = &self.exchanges;
+        self.ids.retain(|_, id| exchanges.contains_key(id));
     }
 
-    /// The id of a name.
+    /// The id of the exchange with this name.
     pub fn id(&self, name: &str) -> Option<ExchangeId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an id.
+    /// The name of the exchange with this id.
     pub fn name(&self, id: ExchangeId) -> Option<&str> {
-        self.known.get(&id).map(|k| k.name.as_str())
+        self.exchanges.get(&id).map(|e| e.name.as_str())
     }
 
-    /// How many exchanges are kept in mind.
+    /// The number of exchanges in the directory.
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.exchanges.len()
     }
 }
 
@@ -95,28 +99,29 @@
 mod tests {
     use super::*;
 
-    fn line(name: &str, phase: Phase, started_at: u64) -> NamedEntry {
+    fn entry(name: &str, phase: Phase, started_at: u64) -> NamedEntry {
         let (number, started_at) = (slateshed::ExchangeNumber(1), Duration::from_millis(started_at));
         NamedEntry { name: name.to_owned(), number, zone: 0, phase, started_at }
     }
 
-    /// Guards against a list that grows with every exchange that is replaced, and against ids that mean two exchanges.
+    /// Guards against a directory that grows with every replaced exchange, and against two exchanges that get the same
+    /// id after one of them is removed.
     #[test]
-    fn whoever_is_gone_or_starts_anew_has_lost_its_work_and_is_forgotten() {
+    fn exchange_that_is_gone_or_restarts_is_terminated_and_gone_ones_are_removed() {
         let mut directory = Directory::default();
-        let one = directory.update(true, &[line("one", Phase::InService, 0)]);
-        assert_eq!((one.lost, one.entries.len()), (vec![], 1));
-        let again = directory.update(false, &[line("one", Phase::InService, 5)]);
-        assert_eq!(again.lost, [ExchangeId(0)], "started anew");
+        let started = directory.update(true, &[entry("one", Phase::InService, 0)]);
+        assert_eq!((started.terminated, started.entries.len()), (vec![], 1));
+        let restarted = directory.update(false, &[entry("one", Phase::InService, 5)]);
+        assert_eq!(restarted.terminated, [ExchangeId(0)], "the restart was not detected");
         for n in 0..100 {
             let name = format!("s-{n}");
-            directory.update(false, &[line(&name, Phase::InService, 0)]);
-            assert_eq!(directory.update(false, &[line(&name, Phase::Gone, 0)]).lost.len(), 1);
-            directory.forget_gone(|_| false);
+            directory.update(false, &[entry(&name, Phase::InService, 0)]);
+            assert_eq!(directory.update(false, &[entry(&name, Phase::Gone, 0)]).terminated.len(), 1);
+            directory.remove_gone(|_| false);
         }
         assert_eq!((directory.len(), directory.id("s-99")), (1, None));
-        let whole = directory.update(true, &[line("two", Phase::InService, 0)]);
-        assert_eq!(whole.lost, [ExchangeId(0)]);
+        let full = directory.update(true, &[entry("two", Phase::InService, 0)]);
+        assert_eq!(full.terminated, [ExchangeId(0)]);
         assert_eq!(directory.id("two"), Some(ExchangeId(101)));
     }
 }
--- a/plugin/src/lib.rs
+++ b/plugin/src/lib.rs
@@ -1,9 +1,10 @@
 //! slateshed's decisions on the client's side of an RPC library: a [`Layer`] whose [`Service`] asks the
-//! controller where each request goes, sends it there, and gives it up or refuses it as decided.
+//! controller to which exchange each request goes, sends it there, and retries, refuses or fails it as the
+//! controller decides.
 //!
-//! The inner service takes a [`Routed`] request and sends it to the exchange named in it. No runtime is
-//! needed: time comes from a [`Clock`] that the host implements on whatever it runs on, and timers are
-//! driven by the requests that wait.
+//! The inner service takes a [`Routed`] request and sends it to the exchange named in it. No particular
+//! async runtime is needed: the host implements [`Clock`] on its own runtime, and the futures of pending
+//! requests run the controller's timers.
 
 mod directory;
 
@@ -19,63 +20,65 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// The time of the host.
+/// The clock of the host.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Done after a while.
+    /// A future that completes after a delay.
     type Sleep: Future<Output = ()> + Send;
-    /// The time now, steady; start times in the list count on the same clock.
+    /// The current time of a monotonic clock. Start times in the list are measured on the same clock.
     fn now(&self) -> Duration;
-    /// Waits.
-    fn sleep(&self, time: Duration) -> Self::Sleep;
+    /// Returns a future that completes after the given delay.
+    fn sleep(&self, delay: Duration) -> Self::Sleep;
 }
 
-/// What the controller has to know of a request.
+/// The properties of a request that the controller decides by. The controller treats each request as a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// Its class, by position in the settings.
     pub class: usize,
-    /// What it is about: requests that are tried again have the same.
+    /// Identifies what is asked for: a request that its caller repeats has the same number.
     pub dialled: DialledNumber,
-    /// Where it goes.
+    /// The number of the exchange that it is for.
     pub destination: ExchangeNumber,
-    /// Circuits it takes.
+    /// The number of circuits that it occupies.
     pub circuits: u32,
-    /// How long its caller waits.
+    /// How long its caller waits for the response.
     pub patience: Duration,
 }
 
-/// What the plug-in has to know of the RPC library's requests and results.
+/// Translates the RPC library's requests and errors for the controller.
 pub trait Policy<R, T, E>: Clone + Send + 'static {
-    /// Describes a request.
+    /// Returns the properties of a request.
     fn describe(&self, request: &R) -> Call;
-    /// How an error ended the attempt. What is not known to prove that nothing ran must not be said to.
+    /// Returns the outcome of an attempt that ended with this error. An outcome that proves that the request
+    /// did not run ([`Outcome::proves_not_run`]) is allowed only if this is certain: the controller may send
+    /// the request again.
     fn outcome(&self, error: &E) -> Outcome;
 }
 
-/// A request on its way to an exchange.
+/// A request with the exchange that the controller has chosen for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routed<R> {
     /// The request, unchanged.
     pub request: R,
-    /// The exchange that it goes to, as the list names it.
+    /// The name of the exchange, as in the list.
     pub exchange: String,
 }
 
-/// Why there is no response.
+/// The reason why a request has no response.
 #[derive(Debug, PartialEq)]
 pub enum Error<E> {
-    /// The request was turned away; trying again is harmless, after the time given.
+    /// The request was refused; it can safely be sent again, after the given delay if there is one.
     Refused(Option<Duration>),
-    /// The request failed, and may have run.
+    /// The request failed, and may have run; the inner service returned no error for it.
     Failed,
-    /// The last attempt's own error, after which the request was given up.
+    /// The request failed; holds the last error that the inner service returned for it.
     Service(E),
 }
 
 impl<E: fmt::Display> fmt::Display for Error<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Refused(Some(stay)) => write!(f, "refused; come back in {} ms", stay.as_millis()),
+            Error::Refused(Some(delay)) => write!(f, "refused; retry after {} ms", delay.as_millis()),
             Error::Refused(None) => write!(f, "refused"),
             Error::Failed => write!(f, "failed"),
             Error::Service(e) => e.fmt(f),
@@ -92,104 +95,116 @@
     }
 }
 
-/// What the controller wants of a request.
+/// A decision of the controller about a request.
 #[derive(Debug)]
-enum Order {
+enum Decision {
+    /// Send an attempt to this exchange, with this timeout.
     SetUp(ExchangeId, Duration),
+    /// Refuse the request; the caller may repeat it after this delay.
     Refuse(Option<Duration>),
     Fail,
 }
 
+/// The part of a request's state that other requests and updates of the list change.
 #[derive(Default)]
-struct Mailbox {
-    orders: VecDeque<Order>,
+struct RequestState {
+    /// Decisions that the request's future has not taken yet.
+    decisions: VecDeque<Decision>,
     waker: Option<Waker>,
-    /// Where its attempt is out.
-    out: Option<ExchangeId>,
-    /// The process that its attempt was out at is gone.
-    is_lost: bool,
+    /// The exchange to which the attempt in flight was sent.
+    in_flight_at: Option<ExchangeId>,
+    /// The process of that exchange has terminated.
+    exchange_terminated: bool,
 }
 
-/// The circuits towards an exchange.
+/// The circuits to an exchange.
 #[derive(Default)]
-struct Group {
+struct TrunkGroup {
+    /// How many circuits there are; none if the host has not set it.
     size: Option<u32>,
+    /// How many of them this plug-in's own requests occupy.
     used: u32,
 }
 
+/// The state that all requests of a controller share.
 struct Shared {
     controller: Controller,
-    groups: HashMap<ExchangeId, Group>,
-    calls: HashMap<CallId, Mailbox>,
-    next_call: u64,
+    trunk_groups: HashMap<ExchangeId, TrunkGroup>,
+    requests: HashMap<CallId, RequestState>,
+    next_call_id: u64,
     timers: BTreeMap<(Duration, TimerId), ()>,
     directory: Directory,
 }
 
 impl Shared {
-    /// News of the list. Requests that are out at a process that is gone wait for nothing.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[NamedEntry]) {
-        let update = self.directory.update(whole, lines);
+    /// Applies an update of the list. Attempts in flight at an exchange whose process has terminated end at
+    /// once instead of waiting for their timeout.
+    fn update_list(&mut self, now: Duration, full: bool, named_entries: &[NamedEntry]) {
+        let update = self.directory.update(full, named_entries);
         let entries = update.entries;
-        let list = if whole { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
-        self.tell(now, Event::List(list));
-        for mailbox in self.calls.values_mut() {
-            if mailbox.out.is_some_and(|e| update.lost.contains(&e)) {
-                mailbox.is_lost = true;
-                mailbox.waker.take().into_iter().for_each(Waker::wake);
+        let list = if full { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
+        self.handle_event(now, Event::List(list));
+        for request in self.requests.values_mut() {
+            if request.in_flight_at.is_some_and(|e| update.terminated.contains(&e)) {
+                request.exchange_terminated = true;
+                request.waker.take().into_iter().for_each(Waker::wake);
             }
         }
-        let calls = &self.calls;
-        self.directory.forget_gone(|id| calls.values().any(|m| m.out == Some(id)));
+        let requests = &self.requests;
+        self.directory.remove_gone(|id| requests.values().any(|r| r.in_flight_at == Some(id)));
         let directory = &self.directory;
-        self.groups.retain(|id, _| directory.name(*id).is_some());
+        self.trunk_groups.retain(|id, _| directory.name(*id).is_some());
     }
-    fn tell(&mut self, now: Duration, event: Event) {
+
+    /// Passes an event to the controller and distributes its actions: decisions to their requests, and timers
+    /// to the timer queue.
+    fn handle_event(&mut self, now: Duration, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(now, event, &mut actions);
         for action in actions {
-            let (call, order) = match action {
-                Action::SetUp { call, exchange, timeout } => (call, Order::SetUp(exchange, timeout)),
-                Action::Refuse { call, retry_after } => (call, Order::Refuse(retry_after)),
-                Action::Fail(call) => (call, Order::Fail),
+            let (call, decision) = match action {
+                Action::SetUp { call, exchange, timeout } => (call, Decision::SetUp(exchange, timeout)),
+                Action::Refuse { call, retry_after } => (call, Decision::Refuse(retry_after)),
+                Action::Fail(call) => (call, Decision::Fail),
                 Action::SetTimer { timer, after } => {
                     self.timers.insert((now + after, timer), ());
                     continue;
                 }
-                // The host tells of the list by itself.
+                // The host sends changes of the list without being asked.
                 Action::Subscribe => continue,
             };
-            if let Some(mailbox) = self.calls.get_mut(&call) {
-                mailbox.orders.push_back(order);
-                mailbox.waker.take().into_iter().for_each(Waker::wake);
+            if let Some(request) = self.requests.get_mut(&call) {
+                request.decisions.push_back(decision);
+                request.waker.take().into_iter().for_each(Waker::wake);
             }
         }
     }
 
-    /// Takes circuits, or gives them back where the number is negative.
-    fn occupy(&mut self, now: Duration, exchange: ExchangeId, circuits: i64) {
+    /// Adds a change, negative to free circuits, to the number of circuits in use to an exchange, and reports
+    /// the free ones to the controller if the size of the trunk group is known.
+    fn change_used_circuits(&mut self, now: Duration, exchange: ExchangeId, change: i64) {
         if self.directory.name(exchange).is_none() {
             return;
         }
-        let group = self.groups.entry(exchange).or_default();
-        let used = i64::from(group.used) + circuits;
+        let group = self.trunk_groups.entry(exchange).or_default();
+        let used = i64::from(group.used) + change;
         group.used = u32::try_from(used.max(0)).unwrap_or(u32::MAX);
         if let Some(size) = group.size {
             let free = size.saturating_sub(group.used);
-            self.tell(now, Event::Circuits { exchange, free, size });
+            self.handle_event(now, Event::Circuits { exchange, free, size });
         }
     }
 
-    /// Has the timers run that are due.
-    fn advance(&mut self, now: Duration) {
+    /// Runs the timers that are due.
+    fn run_due_timers(&mut self, now: Duration) {
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let ((_, timer), ()) = entry.remove_entry();
-            self.tell(now, Event::Timer(timer));
+            self.handle_event(now, Event::Timer(timer));
         }
     }
 }
 
-/// The controller, shared by all that send through it.
+/// A controller, shared by all services that send requests through it.
 #[derive(Clone)]
 pub struct Handle<C> {
     shared: Arc<Mutex<Shared>>,
@@ -197,60 +212,63 @@
 }
 
 impl<C: Clock> Handle<C> {
-    /// A controller without exchanges. `seed` spreads what siblings would otherwise do in step.
+    /// Starts a controller that has no list of exchanges yet. Each controller of a network needs its own `seed`:
+    /// with the same one, all would take the same of several equal routes and act at the same times.
     pub fn new(settings: Settings, seed: u64, clock: C) -> Result<Self, SettingsError> {
         let mut shared = Shared {
             controller: Controller::new(settings, seed)?,
-            groups: HashMap::new(),
-            calls: HashMap::new(),
-            next_call: 0,
+            trunk_groups: HashMap::new(),
+            requests: HashMap::new(),
+            next_call_id: 0,
             timers: BTreeMap::new(),
             directory: Directory::default(),
         };
-        shared.tell(clock.now(), Event::Started);
+        shared.handle_event(clock.now(), Event::Started);
         Ok(Handle { shared: Arc::new(Mutex::new(shared)), clock })
     }
 
     fn lock(&self) -> MutexGuard<'_, Shared> {
-        // The state is whole between events; a panic of another thread does not spoil it.
+        // A poisoned lock is accepted: the state is consistent between events, even after a thread has panicked.
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// News of the list: all of it, or changed lines only.
-    pub fn list(&self, whole: bool, lines: &[NamedEntry]) {
-        self.lock().list(self.clock.now(), whole, lines);
+    /// Applies an update of the list: all entries if `full`, otherwise the changed entries only.
+    pub fn update_list(&self, full: bool, named_entries: &[NamedEntry]) {
+        self.lock().update_list(self.clock.now(), full, named_entries);
     }
 
-    /// How many circuits (connections, streams) there are towards an exchange. The plug-in counts its own
-    /// requests on them; where this is not said, there is always room.
-    pub fn circuits(&self, exchange: &str, size: u32) {
+    /// Sets the number of circuits (connections, streams) to an exchange of the list. The plug-in counts how many
+    /// of them its own requests occupy. If the number is never set, circuits to the exchange are never short.
+    pub fn set_circuits(&self, exchange: &str, size: u32) {
         let mut shared = self.lock();
         if let Some(exchange) = shared.directory.id(exchange) {
-            shared.groups.entry(exchange).or_default().size = Some(size);
-            shared.occupy(self.clock.now(), exchange, 0);
+            shared.trunk_groups.entry(exchange).or_default().size = Some(size);
+            shared.change_used_circuits(self.clock.now(), exchange, 0);
         }
     }
 }
 
-/// A request with the controller. However it ends, the controller hears of it.
-struct Ticket<C: Clock> {
+/// A request that is registered with the controller. The end of the request is reported to the controller in
+/// any case, also when the caller drops the future.
+struct RequestGuard<C: Clock> {
     handle: Handle<C>,
     call: CallId,
     attempts: u32,
-    /// The attempt that is out: where and since when.
-    out: Option<(ExchangeId, Duration)>,
+    /// The attempt in flight: the exchange to which it was sent, and when.
+    in_flight: Option<(ExchangeId, Duration)>,
     circuits: i64,
-    settled: bool,
+    /// The call has ended for the controller; otherwise dropping this cancels it.
+    call_ended: bool,
 }
 
-impl<C: Clock> Ticket<C> {
+impl<C: Clock> RequestGuard<C> {
     fn new(handle: Handle<C>, call: Call) -> Self {
         let circuits = i64::from(call.circuits);
         let id = {
             let mut shared = handle.lock();
-            shared.next_call += 1;
-            let id = CallId(shared.next_call);
-            shared.calls.insert(id, Mailbox::default());
+            shared.next_call_id += 1;
+            let id = CallId(shared.next_call_id);
+            shared.requests.insert(id, RequestState::default());
             let event = Event::Call(NewCall {
                 call: id,
                 class: call.class,
@@ -262,44 +280,44 @@
                 route_hint: None,
                 origin: Origin::Subscriber,
             });
-            shared.tell(handle.clock.now(), event);
+            shared.handle_event(handle.clock.now(), event);
             id
         };
-        Ticket { handle, call: id, attempts: 0, out: None, circuits, settled: false }
+        RequestGuard { handle, call: id, attempts: 0, in_flight: None, circuits, call_ended: false }
     }
 
-    /// Waits for what the controller wants next.
-    async fn order(&mut self) -> Order {
+    /// Waits for the next decision of the controller, and runs its due timers meanwhile.
+    async fn next_decision(&mut self) -> Decision {
         loop {
             let now = self.handle.clock.now();
             let wait = {
                 let mut shared = self.handle.lock();
-                shared.advance(now);
-                let next = shared.timers.keys().next().map(|(at, _)| at.saturating_sub(now));
-                next.unwrap_or(Duration::from_secs(1))
+                shared.run_due_timers(now);
+                let until_next_timer = shared.timers.keys().next().map(|(at, _)| at.saturating_sub(now));
+                until_next_timer.unwrap_or(Duration::from_secs(1))
             };
             let mut sleep = pin!(self.handle.clock.sleep(wait));
             let (handle, call) = (&self.handle, self.call);
-            let order = poll_fn(|cx| {
-                if let Some(mailbox) = handle.lock().calls.get_mut(&call) {
-                    if let Some(order) = mailbox.orders.pop_front() {
-                        return Poll::Ready(Some(order));
+            let decision = poll_fn(|cx| {
+                if let Some(request) = handle.lock().requests.get_mut(&call) {
+                    if let Some(decision) = request.decisions.pop_front() {
+                        return Poll::Ready(Some(decision));
                     }
-                    mailbox.waker = Some(cx.waker().clone());
+                    request.waker = Some(cx.waker().clone());
                 }
                 sleep.as_mut().poll(cx).map(|()| None)
             });
-            if let Some(order) = order.await {
-                return order;
+            if let Some(decision) = decision.await {
+                return decision;
             }
         }
     }
 
-    /// Done once the process that the attempt is out at is gone.
-    async fn lost(&self) {
-        poll_fn(|cx| match self.handle.lock().calls.get_mut(&self.call) {
-            Some(mailbox) if !mailbox.is_lost => {
-                mailbox.waker = Some(cx.waker().clone());
+    /// Completes once the process of the exchange to which the attempt was sent has terminated.
+    async fn exchange_terminated(&self) {
+        poll_fn(|cx| match self.handle.lock().requests.get_mut(&self.call) {
+            Some(request) if !request.exchange_terminated => {
+                request.waker = Some(cx.waker().clone());
                 Poll::Pending
             }
             _ => Poll::Ready(()),
@@ -307,55 +325,55 @@
         .await;
     }
 
-    /// An attempt goes out; the name of where it goes, unless the list has it no longer.
-    fn set_out(&mut self, now: Duration, exchange: ExchangeId) -> Option<String> {
+    /// Records the start of an attempt, and returns the name of its exchange; none if the list no longer has it.
+    fn start_attempt(&mut self, now: Duration, exchange: ExchangeId) -> Option<String> {
         let mut shared = self.handle.lock();
         let name = shared.directory.name(exchange).map(str::to_owned);
-        if let Some(mailbox) = shared.calls.get_mut(&self.call) {
-            (mailbox.out, mailbox.is_lost) = (Some(exchange), false);
+        if let Some(request) = shared.requests.get_mut(&self.call) {
+            (request.in_flight_at, request.exchange_terminated) = (Some(exchange), false);
         }
-        shared.occupy(now, exchange, self.circuits);
+        shared.change_used_circuits(now, exchange, self.circuits);
         self.attempts += 1;
-        self.out = Some((exchange, now));
+        self.in_flight = Some((exchange, now));
         name
     }
 
-    /// The attempt that is out has ended.
-    fn over(&mut self, outcome: Outcome, call_ended: bool) {
+    /// Reports the end of the attempt in flight, if there is one, to the controller.
+    fn end_attempt(&mut self, outcome: Outcome, call_ended: bool) {
         let now = self.handle.clock.now();
-        if let Some((exchange, sent)) = self.out.take() {
+        if let Some((exchange, sent_at)) = self.in_flight.take() {
             let (call, attempt) = (self.call, self.attempts - 1);
-            let delay = now.saturating_sub(sent);
+            let delay = now.saturating_sub(sent_at);
             let mut shared = self.handle.lock();
-            if let Some(mailbox) = shared.calls.get_mut(&call) {
-                mailbox.out = None;
+            if let Some(request) = shared.requests.get_mut(&call) {
+                request.in_flight_at = None;
             }
-            shared.occupy(now, exchange, -self.circuits);
+            shared.change_used_circuits(now, exchange, -self.circuits);
             if outcome == Outcome::Ended {
-                shared.tell(now, Event::Answered { call, attempt, delay });
+                shared.handle_event(now, Event::Answered { call, attempt, delay });
             }
-            shared.tell(
+            shared.handle_event(
                 now,
                 Event::AttemptEnded(AttemptEnd { call, attempt, delay, outcome, call_ended }),
             );
         }
-        self.settled |= call_ended;
+        self.call_ended |= call_ended;
     }
 }
 
-impl<C: Clock> Drop for Ticket<C> {
+impl<C: Clock> Drop for RequestGuard<C> {
     fn drop(&mut self) {
-        // Dropped with its future: the caller is gone, and the attempt with it.
-        if !self.settled {
+        // The caller dropped the future before the call ended, which cancels the attempt in flight.
+        if !self.call_ended {
             let (now, call) = (self.handle.clock.now(), self.call);
-            self.handle.lock().tell(now, Event::CallerAbandoned(call));
-            self.over(Outcome::Cancelled, true);
+            self.handle.lock().handle_event(now, Event::CallerAbandoned(call));
+            self.end_attempt(Outcome::Cancelled, true);
         }
-        self.handle.lock().calls.remove(&self.call);
+        self.handle.lock().requests.remove(&self.call);
     }
 }
 
-/// Makes [`Slateshed`] services around others.
+/// A layer that wraps services in [`Slateshed`].
 #[derive(Clone)]
 pub struct SlateshedLayer<C, P> {
     handle: Handle<C>,
@@ -363,7 +381,7 @@
 }
 
 impl<C, P> SlateshedLayer<C, P> {
-    /// A layer on a controller.
+    /// Creates a layer that sends requests by the decisions of the handle's controller.
     pub fn new(handle: Handle<C>, policy: P) -> Self {
         SlateshedLayer { handle, policy }
     }
@@ -377,7 +395,7 @@
     }
 }
 
-/// A service that sends each request where the controller decides.
+/// A service that sends each request to the exchange that the controller chooses.
 #[derive(Clone)]
 pub struct Slateshed<S, C, P> {
     inner: S,
@@ -385,7 +403,7 @@
     policy: P,
 }
 
-/// The response to come.
+/// The future that [`Slateshed`] returns.
 pub type ResponseFuture<T, E> = Pin<Box<dyn Future<Output = Result<T, Error<E>>> + Send>>;
 
 impl<R, S, C, P> Service<R> for Slateshed<S, C, P>
@@ -402,22 +420,24 @@
     type Error = Error<S::Error>;
     type Future = ResponseFuture<S::Response, S::Error>;
 
-    /// Always ready: each attempt waits for the inner service by itself, and only while its time lasts.
+    /// Always ready: each attempt waits for the inner service to become ready, within its own timeout.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, request: R) -> Self::Future {
         let (inner, policy) = (self.inner.clone(), self.policy.clone());
-        let ticket = Ticket::new(self.handle.clone(), policy.describe(&request));
-        Box::pin(carry(inner, policy, ticket, request))
+        let guard = RequestGuard::new(self.handle.clone(), policy.describe(&request));
+        Box::pin(run_request(inner, policy, guard, request))
     }
 }
 
-async fn carry<R, S, C, P>(
+/// Runs a request: sends attempts as the controller decides, until one succeeds or the controller refuses or
+/// fails the request.
+async fn run_request<R, S, C, P>(
     inner: S,
     policy: P,
-    mut ticket: Ticket<C>,
+    mut guard: RequestGuard<C>,
     request: R,
 ) -> Result<S::Response, Error<S::Error>>
 where
@@ -426,22 +446,22 @@
     C: Clock,
     P: Policy<R, S::Response, S::Error>,
 {
-    let mut last = None;
+    let mut last_error = None;
     loop {
-        let (exchange, timeout) = match ticket.order().await {
-            Order::SetUp(exchange, timeout) => (exchange, timeout),
-            Order::Refuse(stay) => {
-                ticket.settled = true;
-                return Err(Error::Refused(stay));
+        let (exchange, timeout) = match guard.next_decision().await {
+            Decision::SetUp(exchange, timeout) => (exchange, timeout),
+            Decision::Refuse(retry_after) => {
+                guard.call_ended = true;
+                return Err(Error::Refused(retry_after));
             }
-            Order::Fail => {
-                ticket.settled = true;
-                return Err(last.map_or(Error::Failed, Error::Service));
+            Decision::Fail => {
+                guard.call_ended = true;
+                return Err(last_error.map_or(Error::Failed, Error::Service));
             }
         };
-        let now = ticket.handle.clock.now();
-        let Some(name) = ticket.set_out(now, exchange) else {
-            ticket.over(Outcome::NotSent, false);
+        let now = guard.handle.clock.now();
+        let Some(name) = guard.start_attempt(now, exchange) else {
+            guard.end_attempt(Outcome::NotSent, false);
             continue;
         };
         let routed = Routed { request: request.clone(), exchange: name };
@@ -450,45 +470,47 @@
             poll_fn(|cx| service.poll_ready(cx)).await?;
             service.call(routed).await
         };
-        match attempted(attempt, ticket.handle.clock.sleep(timeout), ticket.lost()).await {
-            Attempted::Done(Ok(response)) => {
-                ticket.over(Outcome::Ended, true);
+        match run_attempt(attempt, guard.handle.clock.sleep(timeout), guard.exchange_terminated()).await
+        {
+            AttemptResult::Completed(Ok(response)) => {
+                guard.end_attempt(Outcome::Ended, true);
                 return Ok(response);
             }
-            Attempted::Done(Err(error)) => {
+            AttemptResult::Completed(Err(error)) => {
                 let outcome = policy.outcome(&error);
-                last = Some(error);
-                ticket.over(outcome, false);
+                last_error = Some(error);
+                guard.end_attempt(outcome, false);
             }
-            Attempted::TimedOut => ticket.over(Outcome::TimedOut, false),
-            Attempted::Lost => ticket.over(Outcome::Reset, false),
+            AttemptResult::TimedOut => guard.end_attempt(Outcome::TimedOut, false),
+            AttemptResult::ExchangeTerminated => guard.end_attempt(Outcome::Reset, false),
         }
     }
 }
 
-/// What an attempt has come to.
-enum Attempted<T> {
-    Done(T),
+/// The result of an attempt.
+enum AttemptResult<T> {
+    Completed(T),
     TimedOut,
-    /// The process that it was out at is gone.
-    Lost,
+    /// The process of the exchange to which it was sent has terminated.
+    ExchangeTerminated,
 }
 
-/// The result of a future, unless its time is over first or its process is gone; the future is dropped then.
-async fn attempted<T>(
-    future: impl Future<Output = T>,
-    sleep: impl Future<Output = ()>,
-    lost: impl Future<Output = ()>,
-) -> Attempted<T> {
-    let (mut future, mut sleep, mut lost) = (pin!(future), pin!(sleep), pin!(lost));
+/// Runs the future of an attempt until it completes, its timeout expires, or the process of its exchange has
+/// terminated; in the last two cases the future is dropped.
+async fn run_attempt<T>(
+    attempt: impl Future<Output = T>,
+    timeout: impl Future<Output = ()>,
+    terminated: impl Future<Output = ()>,
+) -> AttemptResult<T> {
+    let (mut attempt, mut timeout, mut terminated) = (pin!(attempt), pin!(timeout), pin!(terminated));
     poll_fn(|cx| {
-        if let Poll::Ready(result) = future.as_mut().poll(cx) {
-            return Poll::Ready(Attempted::Done(result));
+        if let Poll::Ready(result) = attempt.as_mut().poll(cx) {
+            return Poll::Ready(AttemptResult::Completed(result));
         }
-        if lost.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Attempted::Lost);
+        if terminated.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(AttemptResult::ExchangeTerminated);
         }
-        sleep.as_mut().poll(cx).map(|()| Attempted::TimedOut)
+        timeout.as_mut().poll(cx).map(|()| AttemptResult::TimedOut)
     })
     .await
 }
