--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! `slateshed-adapter`: hosts controllers on the simulator's wire. It translates; it decides nothing.
+//! `slateshed-adapter`: runs controllers on the simulator's line protocol, over standard input and output. It only
+//! translates between lines and events; the controllers make all decisions.
 
 mod wire;
 
@@ -18,20 +19,22 @@
 fn run() -> Result<(), String> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut link = wire::Link::default();
+    let mut session = wire::Session::default();
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("reading: {e}"))?;
-        if read == 0 {
-            return link.at_end();
+        let read_bytes =
+            input.read_until(b'\n', &mut line).map_err(|e| format!("reading standard input: {e}"))?;
+        if read_bytes == 0 {
+            return session.end_of_input();
         }
-        let text = std::str::from_utf8(&line).map_err(|_| "a line that is not UTF-8".to_string())?;
-        if link.line(text.trim_end_matches(['\n', '\r']))? {
+        let line_text = std::str::from_utf8(&line)
+            .map_err(|_| "standard input has a line that is not UTF-8".to_string())?;
+        if session.handle_line(line_text.trim_end_matches(['\n', '\r']))? {
             output
-                .write_all(link.reply().as_bytes())
+                .write_all(session.reply().as_bytes())
                 .and_then(|()| output.flush())
-                .map_err(|e| format!("writing: {e}"))?;
+                .map_err(|e| format!("writing standard output: {e}"))?;
         }
     }
 }
