--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,29 +1,29 @@
-//! The settings object of a deployment, read into [`Settings`]. The adapter gets it in the simulator's
-//! first message, the daemon in its configuration; both keep the same names and units. Every error names
-//! the key at fault.
+//! Parses the settings object of a deployment into [`Settings`]. The adapter receives the object in the
+//! simulator's `POWER_ON` message, the daemon in its configuration; the keys and units are the same in both.
+//! Every error about a value names its key.
 
 use slateshed::*;
 use std::time::Duration;
 pub use tinyjson::JsonValue;
 
-/// Reads JSON that may come from anywhere. The parser descends once a level, so the depth is bounded first:
-/// a deep nest would overflow its stack and end the process.
-pub fn parse_json(text: &str, deepest: usize) -> Result<JsonValue, String> {
-    let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
+/// Parses JSON from an untrusted source. The parser calls itself for each level of nesting, so the depth is
+/// checked first: deeply nested input would overflow the stack and end the process.
+pub fn parse_json(text: &str, max_depth: usize) -> Result<JsonValue, String> {
+    let (mut depth, mut in_string, mut escaped) = (0usize, false, false);
     for b in text.bytes() {
         match b {
             _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            b'[' | b'{' if !quoted => depth += 1,
-            b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            b'[' | b'{' if !in_string => depth += 1,
+            b']' | b'}' if !in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > deepest {
-            return Err(format!("more than {deepest} levels"));
+        if depth > max_depth {
+            return Err(format!("nested more than {max_depth} levels deep"));
         }
     }
-    text.parse().map_err(|e| format!("no JSON: {e}"))
+    text.parse().map_err(|e| format!("invalid JSON: {e}"))
 }
 
 /// Looks up the value at a dotted path.
@@ -31,43 +31,45 @@
     path.split('.').try_fold(root, |v, key| v.get::<std::collections::HashMap<_, _>>()?.get(key))
 }
 
-/// A finite number.
+/// Reads the finite number at a dotted path.
 pub fn number(root: &JsonValue, path: &str) -> Result<f64, String> {
     let number = lookup(root, path).and_then(JsonValue::get::<f64>).copied();
     number.filter(|x| x.is_finite()).ok_or_else(|| format!("{path} is no number"))
 }
 
-/// A text.
+/// Reads the string at a dotted path.
 pub fn text<'a>(root: &'a JsonValue, path: &str) -> Result<&'a str, String> {
     let text = lookup(root, path).and_then(JsonValue::get::<String>);
-    text.map(String::as_str).ok_or_else(|| format!("{path} is no text"))
+    text.map(String::as_str).ok_or_else(|| format!("{path} is not a string"))
 }
 
-/// A list.
+/// Reads the list at a dotted path.
 pub fn list<'a>(root: &'a JsonValue, path: &str) -> Result<&'a [JsonValue], String> {
     let list = lookup(root, path).and_then(JsonValue::get::<Vec<JsonValue>>);
-    list.map(Vec::as_slice).ok_or_else(|| format!("{path} is no list"))
+    list.map(Vec::as_slice).ok_or_else(|| format!("{path} is not a list"))
 }
 
-/// Milliseconds as a time; `None` below zero or far out of range.
+/// Converts milliseconds to a duration, rounded to microseconds; `None` if they are negative, not finite, or 1e15 or
+/// more.
 pub fn duration(ms: f64) -> Option<Duration> {
-    let fits = ms.is_finite() && (0.0..1e15).contains(&ms);
-    fits.then(|| Duration::from_micros((ms * 1000.0).round() as u64))
+    let in_range = ms.is_finite() && (0.0..1e15).contains(&ms);
+    in_range.then(|| Duration::from_micros((ms * 1000.0).round() as u64))
 }
 
-/// A time in milliseconds.
+/// Reads the duration in milliseconds at a dotted path.
 pub fn millis(root: &JsonValue, path: &str) -> Result<Duration, String> {
     duration(number(root, path)?).ok_or_else(|| format!("{path} is out of range"))
 }
 
-/// A whole number of 32 bits.
+/// Reads the unsigned 32-bit whole number at a dotted path.
 pub fn count(root: &JsonValue, path: &str) -> Result<u32, String> {
     let x = number(root, path)?;
-    let whole = x.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&x);
-    whole.then_some(x as u32).ok_or_else(|| format!("{path} is no count"))
+    let fits = x.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&x);
+    fits.then_some(x as u32).ok_or_else(|| format!("{path} is not an unsigned 32-bit whole number"))
 }
 
-fn class(root: &JsonValue, service: &JsonValue, position: usize) -> Result<Class, String> {
+/// Reads the class that the entry of `services` at this index describes.
+fn parse_class(root: &JsonValue, service: &JsonValue, index: usize) -> Result<Class, String> {
     let scope = match text(service, "group")? {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
@@ -80,13 +82,14 @@
         "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("services.semantics {other} is unknown")),
     };
-    let holds = list(root, "specifics.mean_hold_ms")?;
-    let mean_hold = holds.get(position).and_then(JsonValue::get::<f64>).copied();
-    let mean_hold = mean_hold.and_then(duration).ok_or("specifics.mean_hold_ms lacks a class")?;
+    let mean_holds = list(root, "specifics.mean_hold_ms")?;
+    let mean_hold = mean_holds.get(index).and_then(JsonValue::get::<f64>).copied();
+    let mean_hold =
+        mean_hold.and_then(duration).ok_or("specifics.mean_hold_ms has no valid value for a class")?;
     let mut pools = Vec::new();
-    let allowed = list(root, "specifics.allowed_pools")?.get(position);
-    if let Some(own) = allowed.and_then(JsonValue::get::<Vec<JsonValue>>) {
-        for pool in own {
+    let allowed = list(root, "specifics.allowed_pools")?.get(index);
+    if let Some(class_pools) = allowed.and_then(JsonValue::get::<Vec<JsonValue>>) {
+        for pool in class_pools {
             let number = pool.get::<f64>().copied().filter(|n| n.fract() == 0.0);
             let number = number.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n));
             let number = number.ok_or("specifics.allowed_pools is malformed")?;
@@ -104,14 +107,15 @@
     })
 }
 
-/// Names of the first two report fields, free circuits and group size; empty where not reported.
+/// The names of the first two report fields: the free circuits and the size of a trunk group. A name is empty if the
+/// field is not reported.
 pub fn report_fields(root: &JsonValue) -> Result<[String; 2], String> {
     let fields = list(root, "report.fields")?;
     let name = |i: usize| fields.get(i).and_then(JsonValue::get::<String>).cloned().unwrap_or_default();
     Ok([name(0), name(1)])
 }
 
-/// Reads the settings.
+/// Reads the settings object.
 pub fn parse_settings(root: &JsonValue) -> Result<Settings, String> {
     let topology = match text(root, "specifics.layout")? {
         "meshed" => Topology::Mesh { local: ExchangeNumber(count(root, "specifics.here")?) },
@@ -125,9 +129,9 @@
     };
     let services = list(root, "services")?;
     let classes =
-        services.iter().enumerate().map(|(i, s)| class(root, s, i)).collect::<Result<_, _>>()?;
+        services.iter().enumerate().map(|(i, s)| parse_class(root, s, i)).collect::<Result<_, _>>()?;
     let quota = |t: &JsonValue| number(t, "quota_per_s");
-    let retry =
+    let passes_retry_after =
         lookup(root, "allowed.retry_after").and_then(JsonValue::get::<bool>).copied().unwrap_or(false);
     Ok(Settings {
         topology,
@@ -148,7 +152,7 @@
         tick_interval: millis(root, "tick_ms")?,
         resend_interval: millis(root, "specifics.resend_ms")?,
         discovery,
-        max_retry_after: if retry {
+        max_retry_after: if passes_retry_after {
             millis(root, "allowed.max_retry_after_ms")?
         } else {
             Duration::ZERO
