--- a/sources/src/log.rs
+++ b/sources/src/log.rs
@@ -1,88 +1,104 @@
-//! Access logs in the Common and the Combined Log Format.
+//! Parser for access logs in the Common and the Combined Log Format.
 
-use crate::{from_the_first, Place, SourceError, TimedCall};
+use crate::{sort_from_first_start, Location, RecordedRequest, SourceError};
 use jiff::fmt::strtime;
 use std::time::Duration;
 
-/// The format of a log.
+/// The format of an access log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// `host ident user [time] "request" status size`.
     Common,
-    /// The same, and `"referer" "user agent"`.
+    /// The same, followed by `"referer" "user agent"`.
     Combined,
 }
 
-/// What is left of a line.
-struct Rest<'a>(&'a str);
+/// The part of a line that is not parsed yet.
+struct Remainder<'a>(&'a str);
 
-impl<'a> Rest<'a> {
-    fn word(&mut self, what: &str) -> Result<&'a str, String> {
-        let (word, rest) = self.0.split_once(' ').unwrap_or((self.0, ""));
-        self.0 = rest;
+impl<'a> Remainder<'a> {
+    /// Reads the field up to the next space; `field` is its name for errors.
+    fn word(&mut self, field: &str) -> Result<&'a str, String> {
+        let (word, after) = self.0.split_once(' ').unwrap_or((self.0, ""));
+        self.0 = after;
         if word.is_empty() {
-            Err(format!("{what} is missing"))
+            Err(format!("{field} is missing"))
         } else {
             Ok(word)
         }
     }
 
-    /// What stands between two marks; a backslash keeps the mark behind it from ending it.
-    fn between(&mut self, (open, close): (char, char), what: &str) -> Result<&'a str, String> {
+    /// Reads the field between two delimiters. A delimiter after a backslash is part of the field.
+    fn delimited(&mut self, (open, close): (char, char), field: &str) -> Result<&'a str, String> {
         let inside =
-            self.0.strip_prefix(open).ok_or_else(|| format!("{what} does not begin with {open}"))?;
+            self.0.strip_prefix(open).ok_or_else(|| format!("{field} does not begin with {open}"))?;
         let mut escaped = false;
         let end = inside.char_indices().find(|(_, c)| {
-            let ends = *c == close && !escaped;
+            let is_end = *c == close && !escaped;
             escaped = *c == '\\' && !escaped;
-            ends
+            is_end
         });
-        let (end, _) = end.ok_or_else(|| format!("{what} does not end with {close}"))?;
-        let rest = &inside[end + close.len_utf8()..];
-        self.0 = rest.strip_prefix(' ').unwrap_or(rest);
+        let (end, _) = end.ok_or_else(|| format!("{field} does not end with {close}"))?;
+        let after = &inside[end + close.len_utf8()..];
+        self.0 = after.strip_prefix(' ').unwrap_or(after);
         Ok(&inside[..end])
     }
 }
 
-fn line(text: &str, format: Format) -> Result<(jiff::Timestamp, TimedCall), String> {
-    let mut rest = Rest(text);
-    let host = rest.word("host")?;
-    rest.word("ident")?;
-    rest.word("user")?;
-    let time = rest.between(('[', ']'), "time")?;
-    let at = strtime::parse("%d/%b/%Y:%H:%M:%S %z", time).and_then(|t| t.to_timestamp());
-    let at = at.map_err(|_| format!("time {time} is malformed"))?;
-    let request = rest.between(('"', '"'), "request")?;
+/// Parses a line of the log.
+fn parse_line(text: &str, format: Format) -> Result<(jiff::Timestamp, RecordedRequest), String> {
+    let mut remainder = Remainder(text);
+    let host = remainder.word("host")?;
+    remainder.word("ident")?;
+    remainder.word("user")?;
+    let time = remainder.delimited(('[', ']'), "time")?;
+    let start = strtime::parse("%d/%b/%Y:%H:%M:%S %z", time).and_then(|t| t.to_timestamp());
+    let start = start.map_err(|_| format!("time {time} is malformed"))?;
+    let request = remainder.delimited(('"', '"'), "request")?;
     let mut words = request.split(' ');
     let (Some(method), Some(target), Some(_) | None, None) =
         (words.next().filter(|m| !m.is_empty()), words.next(), words.next(), words.next())
     else {
         return Err(format!("request {request} is malformed"));
     };
-    let status = match rest.word("status")? {
+    let status = match remainder.word("status")? {
         "-" => None,
-        s => Some(s.parse().ok().filter(|s| (100..1000).contains(s)).ok_or("status is no status")?),
+        s => Some(
+            s.parse().ok().filter(|s| (100..1000).contains(s)).ok_or("status is not a status code")?,
+        ),
     };
-    let size = match rest.word("size")? {
+    let body_bytes = match remainder.word("size")? {
         "-" => None,
-        s => Some(s.parse().map_err(|_| format!("size {s} is no number"))?),
+        s => Some(s.parse().map_err(|_| format!("size {s} is not a whole number"))?),
     };
     if format == Format::Combined {
-        rest.between(('"', '"'), "referer")?;
-        rest.between(('"', '"'), "user agent")?;
+        remainder.delimited(('"', '"'), "referer")?;
+        remainder.delimited(('"', '"'), "user agent")?;
     }
-    if !rest.0.trim().is_empty() {
-        return Err(format!("{} is more than the format has", rest.0.trim()));
+    if !remainder.0.trim().is_empty() {
+        return Err(format!("unexpected text after the last field: {}", remainder.0.trim()));
     }
     let (client, method, target) = (Some(host.to_owned()), method.to_owned(), target.to_owned());
-    Ok((at, TimedCall { at: Duration::ZERO, client, method, target, status, took: None, size }))
+    Ok((
+        start,
+        RecordedRequest {
+            started_at: Duration::ZERO,
+            client,
+            method,
+            target,
+            status,
+            duration: None,
+            body_bytes,
+        },
+    ))
 }
 
-/// Reads a log; blank lines are passed over.
-pub fn read(text: &str, format: Format) -> Result<Vec<TimedCall>, SourceError> {
+/// Parses an access log; blank lines are skipped.
+pub fn read(text: &str, format: Format) -> Result<Vec<RecordedRequest>, SourceError> {
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
-    let calls = lines.map(|(i, l)| line(l, format).map_err(|e| SourceError::new(Place::Line(i + 1), e)));
-    Ok(from_the_first(calls.collect::<Result<_, _>>()?))
+    let requests = lines
+        .map(|(i, l)| parse_line(l, format).map_err(|e| SourceError::new(Location::Line(i + 1), e)));
+    Ok(sort_from_first_start(requests.collect::<Result<_, _>>()?))
 }
 
 #[cfg(test)]
@@ -93,34 +109,42 @@
 ::1 - ann [10/Oct/2026:01:55:36 +0000] "POST /photos HTTP/1.1" 503 -
 "#;
 
+    /// Guards against time zones that are ignored, and against requests left in the order in which
+    /// they ended.
     #[test]
-    fn lines_come_by_time_whatever_their_zone_and_order() {
-        let calls = read(COMMON, Format::Common).expect("well formed");
-        let times: Vec<_> = calls.iter().map(|c| c.at.as_secs()).collect();
-        assert_eq!((times, calls[0].status, calls[0].size), (vec![0, 2], Some(503), None));
-        assert_eq!((calls[1].method.as_str(), calls[1].target.as_str()), ("GET", r#"/logs/7?q=\"x\""#));
+    fn lines_are_sorted_by_time_across_time_zones() {
+        let requests = read(COMMON, Format::Common).expect("well formed");
+        let times: Vec<_> = requests.iter().map(|r| r.started_at.as_secs()).collect();
+        assert_eq!((times, requests[0].status, requests[0].body_bytes), (vec![0, 2], Some(503), None));
+        assert_eq!(
+            (requests[1].method.as_str(), requests[1].target.as_str()),
+            ("GET", r#"/logs/7?q=\"x\""#)
+        );
     }
 
+    /// Guards against escaped quotes that end a field, and against fields of another format that are ignored.
     #[test]
-    fn the_combined_format_has_two_fields_more() {
-        let more =
+    fn combined_format_has_two_more_fields_which_the_common_format_rejects() {
+        let combined =
             COMMON.replace("2326", r#"2326 "http://x/" "a \"b\"""#).replace("503 -", r#"503 - "-" "-""#);
-        assert_eq!(read(&more, Format::Combined), read(COMMON, Format::Common));
-        let error = read(&more, Format::Common).expect_err("too much");
-        assert_eq!(error.place, Place::Line(1));
+        assert_eq!(read(&combined, Format::Combined), read(COMMON, Format::Common));
+        let error = read(&combined, Format::Common).expect_err("the common format has no such fields");
+        assert_eq!(error.location, Location::Line(1));
     }
 
+    /// Guards against malformed lines that are accepted, and against errors that don't say where they are.
     #[test]
-    fn the_bad_line_is_named() {
-        for (good, bad, words) in [
+    fn errors_name_the_malformed_line() {
+        for (valid, malformed, expected) in [
             ("10/Oct", "32/Oct", "line 1: time 32/Oct/2026:13:55:38 +1200 is malformed"),
-            ("503", "none", "line 2: status is no status"),
+            ("503", "none", "line 2: status is not a status code"),
             ("POST /photos HTTP/1.1", "POST", "line 2: request POST is malformed"),
             ("\" 503", " 503", "line 2: request does not end with \""),
-            ("2326", "x", "line 1: size x is no number"),
+            ("2326", "x", "line 1: size x is not a whole number"),
         ] {
-            let error = read(&COMMON.replacen(good, bad, 1), Format::Common).expect_err(bad);
-            assert_eq!(error.to_string(), words);
+            let error =
+                read(&COMMON.replacen(valid, malformed, 1), Format::Common).expect_err(malformed);
+            assert_eq!(error.to_string(), expected);
         }
     }
 }
