--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -54,7 +54,8 @@
     assert_eq!(stdout, "NEXT\nAS i=3\nTRY tid=9 exchange=other cap_ms=1500\nNEXT\n");
 }
 
-/// Guards against malformed input that is accepted or causes a panic, and against messages that don't say what is wrong.
+/// Guards against malformed input that is accepted or causes a panic, and against error messages that don't say what
+/// is wrong.
 #[test]
 fn malformed_input_is_reported_on_one_line() {
     let job_without_patience =
--- a/plugin/src/lib.rs
+++ b/plugin/src/lib.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Adds a change, negative to free circuits, to the number of circuits in use to an exchange, and reports
-    /// the free ones to the controller if the size of the trunk group is known.
+    /// Adds `change`, which is negative when circuits become free, to the number of circuits in use to an
+    /// exchange. Reports the free circuits to the controller if the size of the trunk group is known.
     fn change_used_circuits(&mut self, now: Duration, exchange: ExchangeId, change: i64) {
         if self.directory.name(exchange).is_none() {
             return;
@@ -228,7 +228,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Shared> {
-        // A poisoned lock is accepted: the state is consistent between events, even after a thread has panicked.
+        // The state is consistent between events, so a lock that a panic in another thread has poisoned is usable.
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -238,7 +238,8 @@
     }
 
     /// Sets the number of circuits (connections, streams) to an exchange of the list. The plug-in counts how many
-    /// of them its own requests occupy. If the number is never set, circuits to the exchange are never short.
+    /// of them its own requests occupy. Without a number, the controller assumes that
+    /// circuits to the exchange are always free.
     pub fn set_circuits(&self, exchange: &str, size: u32) {
         let mut shared = self.lock();
         if let Some(exchange) = shared.directory.id(exchange) {
