--- a/src/control.rs
+++ b/src/control.rs
@@ -1,522 +1,538 @@
 //! All decisions of the controller. Its types, events, actions and settings: `src/interface.rs`.
 //!
-//! The ordinary path follows the bang-bang control of "Congestion Avoidance with S-CSCF Selection in
-//! IMS Networks" (section III), kept per first-hop processor; `docs/design.md` lists each departure.
-//! In order: far-processor estimate and latch; admission; route choice; attempts; guards.
+//! The basic scheme is the bang-bang control of "Congestion Avoidance with S-CSCF Selection in IMS
+//! Networks" (section III): a congestion flag with hysteresis, here one for each first-hop processor.
+//! `docs/design.md` lists each difference from the paper.
+//! In order: delay estimate and congestion flag; admission; route choice; attempts; rule checks.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Upper bound of the latch, as a share of the own calls' mean aim (turned into a ratio over the lowest
-/// delay): delays go on rising for as long as what was let in before is worked off.
-const UPPER_OF_AIM: f64 = 0.35;
-/// Lower bound over the upper one: the paper's best pair is 60 to 80.
-const LOWER_OF_UPPER: f64 = 0.6;
-/// Bounds of the upper ratio itself. 3: a processor heard only while it was slow has no true floor; it is
-/// given one that leaves the ratio here. 80: the paper's best upper bound, for a very low floor.
-const UPPER_RATIO: (f64, f64) = (3.0, 80.0);
-/// Span of the smoothing, seconds: the design's "about two seconds".
-const SMOOTHING: f64 = 2.0;
-/// Least weight of one sample, so that a burst of answers counts too.
-const LEAST_WEIGHT: f64 = 0.2;
-/// A sample below the estimate weighs this many times more: in a line served in turn the newest answer
-/// is the best word on the backlog, so a drained backlog must not hold the ratio up.
-const FALL_FASTER: f64 = 2.0;
-/// Span over which the most answers seen in a second fade, seconds: several times the smoothing.
-const ANSWER_SPAN: f64 = 20.0;
-/// Set-ups out at once that are never too many, or one for each exchange where there are fewer.
-const LEAST_OUT: f64 = 6.0;
-/// A class of this many times the mean worth of own calls is valued: under pressure it goes first.
-const VALUED_WORTH: f64 = 1.5;
-/// Valued calls pass a shut latch while the delay to expect is below this share of their aim.
-const VALUED_OF_AIM: f64 = 0.6;
-/// A call without a way is looked at again after this time, a few ticks.
-const HOLD_STEP: Duration = Duration::from_millis(50);
-/// It is held for this share of its aim; the rest is for the set-up, or for its caller to be back in time.
-const HOLD_OF_AIM: f64 = 0.5;
-/// A refused caller who could still have the call stand in time is told to stay away for this share of the
-/// time left: it leaves room for the way, the look and the wait of another try or two.
-const STAY_OF_LEFT: f64 = 0.2;
-/// Late calls go out under this part of the backlog limit: what they can earn is less than half.
-const LATE_PART: f64 = 0.3;
-/// Weight of one caller in the mean patience: some thirty callers.
-const CALLER_WEIGHT: f64 = 0.03;
-/// Gap between sample set-ups to a shut processor: one a second, by design.
-const SAMPLE_GAP: Duration = Duration::from_secs(1);
-/// Outcomes that tell what the own exchange adds: fewer may all come from one slow processor.
-const ENOUGH_OUTCOMES: usize = 4;
-/// No event for this share of the aim is a standstill of this controller.
-const STANDSTILL_OF_AIM: f64 = 0.2;
-/// Circuits that tandem legs leave free: this many square roots of the group's size, one at least.
-const RESERVE_ROOTS: f64 = 0.5;
-/// A pair that a tandem turned back is left alone for this long, seconds: the mean time in which a full
-/// group of some tens of circuits gets one free again and others take it.
-const TURNED_BACK_REST: f64 = 1.0;
-/// Tandems tried for one call at most: each turn-back is work for two processors.
-const MOST_TANDEMS: usize = 2;
-/// Faults and ends of a connection that are excused for one call: they speak of that set-up alone.
-const MOST_EXCUSED: u32 = 4;
-/// Faults in a row, with no other answer between, by which a processor has failed as a whole.
-const FAULTS_IN_A_ROW: u32 = 50;
-/// Each turn-back in a row doubles the rest, up to this many mean holds: by then half the calls on the
-/// second leg are others.
-const TURNED_BACK_MOST: f64 = 0.7;
-/// First gap between calls to a number found busy, as a share of the class's mean hold.
-const BUSY_GAP_OF_HOLD: f64 = 0.05;
-/// Longest such gap, in mean holds: a line comes free about this often at the worst.
-const BUSY_GAP_MOST: f64 = 0.5;
-/// Set-ups that a processor can do over the most answers ever seen here in a second: each exchange ends
-/// about as many calls as it originates, and the best second is a third above what can be kept up.
-const OWN_AND_THEIRS: f64 = 1.5;
-/// Weight of one call in the mean over own calls: some hundred calls.
-const MIX_WEIGHT: f64 = 0.01;
-/// Weight of one caller who leaves early in the estimate of how soon they do; half of it, each call that
-/// stands speaks for the full aim.
-const HURRY_WEIGHT: f64 = 0.1;
-/// Wait before asking for the list again after a failure; longer after several, spread by the seed.
-const LIST_RETRY: Duration = Duration::from_secs(1);
+/// Delay above which a processor counts as congested, as a share of the mean target delay of originating
+/// calls. Well under 1, because delays keep rising while earlier set-ups are worked off.
+const UPPER_BOUND_SHARE: f64 = 0.35;
+/// Lower bound, below which it counts as recovered, over the upper one: the paper's best pair is 60 and 80.
+const LOWER_BOUND_RATIO: f64 = 0.6;
+/// Limits of the upper bound as a response ratio (delay over reference delay). 3: the lowest delay of a
+/// processor observed only while slow is too high a reference, so it is capped to give this ratio. 80: the
+/// paper's best upper bound, for a very low reference delay.
+const UPPER_RATIO_LIMITS: (f64, f64) = (3.0, 80.0);
+/// Time constant, in seconds, of the exponential smoothing of delays: the design asks for about two.
+const SMOOTHING_TIME_SECS: f64 = 2.0;
+/// Minimum weight of one delay sample, so that a burst of answers counts too.
+const MIN_SAMPLE_WEIGHT: f64 = 0.2;
+/// Weight of a sample below the estimate over that of one above it: in a first-in, first-out queue the newest
+/// answer tells most about the backlog, so a backlog already worked off must not keep the ratio high.
+const FALLING_WEIGHT_RATIO: f64 = 2.0;
+/// Time constant, in seconds, with which the peak answer rate decays: several times the smoothing time.
+const PEAK_RATE_DECAY_SECS: f64 = 20.0;
+/// Minimum of the limit on set-ups in flight; the number of listed processors where that is lower.
+const MIN_IN_FLIGHT_LIMIT: f64 = 6.0;
+/// A class has high priority if its worth is at least this multiple of the mean worth of originating calls.
+const HIGH_PRIORITY_WORTH_RATIO: f64 = 1.5;
+/// High-priority calls ignore congestion while the expected delay is below this share of their target delay.
+const HIGH_PRIORITY_DELAY_SHARE: f64 = 0.6;
+/// A call without a usable route is decided again at this interval, a few ticks.
+const ROUTE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum wait for a route, as a share of the target delay; the rest is for the set-up or a redial in time.
+const MAX_ROUTE_WAIT_SHARE: f64 = 0.5;
+/// Retry-after of a refused call that could still be answered in time, as a share of the time left to its
+/// target delay: it leaves room for the signalling, processing and waiting of one or two more tries.
+const RETRY_AFTER_SHARE: f64 = 0.2;
+/// Share of the limit on set-ups in flight that late calls may use: they can earn less than half.
+const LATE_IN_FLIGHT_SHARE: f64 = 0.3;
+/// Weight of one caller in the mean patience, which averages over about thirty callers.
+const PATIENCE_WEIGHT: f64 = 0.03;
+/// Minimum interval between probe set-ups to a congested processor: one a second, by design. It is also the
+/// window over which recent outcomes and answers are counted.
+const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
+/// Outcomes needed to estimate the delay of the local processor: fewer may all come from one slow processor.
+const MIN_OUTCOMES: usize = 4;
+/// Time without an event that counts as a stall of this controller, as a share of the mean target delay.
+const STALL_TIME_SHARE: f64 = 0.2;
+/// Trunk reservation: circuits that a tandem call leaves free, in square roots of the group size; at least 1.
+const RESERVATION_SQRT_RATIO: f64 = 0.5;
+/// Initial backoff, in seconds, for the trunk group from a tandem that refused a call to the destination: the
+/// mean time in which a full group of some tens of circuits gets a free one and other calls take it.
+const INITIAL_TANDEM_BACKOFF_SECS: f64 = 1.0;
+/// A call tries no tandem after this many failed processors: a tandem's refusal costs work on two processors.
+const MAX_TANDEM_ATTEMPTS: usize = 2;
+/// Retries of a call on one processor after faults and lost connections, which may concern one set-up only.
+const MAX_SAME_PROCESSOR_RETRIES: u32 = 4;
+/// Number of consecutive faults, with no other answer between, after which a processor counts as failed.
+const CONSECUTIVE_FAULT_LIMIT: u32 = 50;
+/// Maximum of the tandem backoff, in mean holds. Each consecutive refusal doubles the backoff; after this
+/// time other calls have replaced half of those on the second leg.
+const MAX_TANDEM_BACKOFF_HOLDS: f64 = 0.7;
+/// Initial interval between calls to a number found busy, in mean holds of the class.
+const INITIAL_BUSY_INTERVAL_HOLDS: f64 = 0.05;
+/// Maximum of that interval, in mean holds: even in the worst case a line becomes free about this often.
+const MAX_BUSY_INTERVAL_HOLDS: f64 = 0.5;
+/// Set-ups a second that a processor can handle, over the highest answer rate ever observed here: exchanges
+/// receive about as many calls as they originate, and the best second is a third above the sustainable rate.
+const CAPACITY_PEAK_RATIO: f64 = 1.5;
+/// Weight of one call in the means over originating calls, which average over about a hundred calls.
+const CALL_WEIGHT: f64 = 0.01;
+/// Weight of an early abandonment in `stay_ratio`; an answered call counts as 1 with half this weight.
+const ABANDON_WEIGHT: f64 = 0.1;
+/// Delay before requesting the list again after a failure; grows with more failures, spread by the seed.
+const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 fn secs(d: Duration) -> f64 {
     d.as_secs_f64()
 }
 
-/// What own set-ups tell of one processor: smoothed delay, lowest delay, and the latch.
+/// Delay estimate, in seconds, and congestion flag of one processor, from the set-ups sent to it.
 #[derive(Debug, Default)]
-struct Estimate {
+struct DelayEstimate {
     smoothed: Option<f64>,
     lowest: Option<f64>,
-    /// When the newest sample that counted was sent.
-    sent_newest: Duration,
-    shut: bool,
-    last_set_up: Option<Duration>,
-    /// No sample before this: a set-up given up may still wait in line for as long again.
-    rest_until: Duration,
-    /// Faults since the last other answer.
+    /// Latest send time of the set-ups that gave a sample.
+    newest_sent_at: Duration,
+    congested: bool,
+    last_sent_at: Option<Duration>,
+    /// No probe before this: a set-up that timed out may stay in the queue for as long again.
+    probe_from: Duration,
+    /// Number of faults since the last other answer.
     faults: u32,
     unanswered: BTreeSet<(Duration, CallId)>,
 }
 
-impl Estimate {
-    /// Takes in the delay of a set-up sent at `sent`.
-    fn sample(&mut self, sent: Duration, delay: f64) {
+impl DelayEstimate {
+    /// Adds the delay of a set-up sent at `sent_at` to the smoothed delay.
+    fn add_sample(&mut self, sent_at: Duration, delay: f64) {
         let Some(old) = self.smoothed else {
             self.smoothed = Some(delay);
-            self.sent_newest = sent;
+            self.newest_sent_at = sent_at;
             return;
         };
-        // Judge by send order: once a later set-up is answered, the backlog's older answers are old news
-        // and may not raise the ratio.
-        if sent < self.sent_newest && delay > old {
+        // Once a later set-up is answered, a higher delay of an earlier one is outdated and must not raise
+        // the ratio.
+        if sent_at < self.newest_sent_at && delay > old {
             return;
         }
-        let gap = secs(sent.saturating_sub(self.sent_newest));
-        let mut weight = (1.0 - (-gap / SMOOTHING).exp()).max(LEAST_WEIGHT);
+        let elapsed = secs(sent_at.saturating_sub(self.newest_sent_at));
+        let mut weight = (1.0 - (-elapsed / SMOOTHING_TIME_SECS).exp()).max(MIN_SAMPLE_WEIGHT);
         if delay < old {
-            weight = (weight * FALL_FASTER).min(1.0);
+            weight = (weight * FALLING_WEIGHT_RATIO).min(1.0);
         }
         self.smoothed = Some(old + weight * (delay - old));
-        self.sent_newest = self.sent_newest.max(sent);
+        self.newest_sent_at = self.newest_sent_at.max(sent_at);
     }
 
-    /// The delay to expect: the smoothed one, or the age of the oldest unanswered set-up, less what the
-    /// own exchange adds.
-    fn expected(&self, now: Duration, own: &Own) -> f64 {
+    /// The higher of the smoothed delay and the age of the oldest unanswered set-up less the local delay.
+    fn expected(&self, now: Duration, local: &LocalDelay) -> f64 {
         let oldest = self.unanswered.first();
-        let age = oldest.map_or(0.0, |(t, _)| secs(now.saturating_sub((*t).max(own.woke))) - own.delay);
+        let age = oldest.map_or(0.0, |(sent_at, _)| {
+            secs(now.saturating_sub((*sent_at).max(local.stall_end))) - local.delay
+        });
         self.smoothed.unwrap_or(0.0).max(age)
     }
 
-    /// Sets the latch from the response ratio. The age of the oldest unanswered set-up counts as a delay
-    /// already seen: it guards against processors that answer nothing (hang, crash, lost link) before a
-    /// time-out tells. It could harm where one lost answer stands for none; the sample a second repairs it.
-    fn latch(&mut self, now: Duration, aim: f64, own: &Own) -> bool {
-        let floor = self.lowest.unwrap_or(f64::INFINITY).min(aim * UPPER_OF_AIM / UPPER_RATIO.0);
-        let upper = (aim * UPPER_OF_AIM / floor).min(UPPER_RATIO.1);
-        let ratio = self.expected(now, own) / floor;
+    /// Updates the congestion flag, with hysteresis. The age of the oldest unanswered set-up counts as an
+    /// observed delay: this detects processors that answer nothing (hang, crash, lost link) before a time-out
+    /// does. One lost answer can set the flag wrongly; the probe once a second corrects it.
+    fn update_flag(&mut self, now: Duration, target: f64, local: &LocalDelay) -> bool {
+        let reference =
+            self.lowest.unwrap_or(f64::INFINITY).min(target * UPPER_BOUND_SHARE / UPPER_RATIO_LIMITS.0);
+        let upper = (target * UPPER_BOUND_SHARE / reference).min(UPPER_RATIO_LIMITS.1);
+        let ratio = self.expected(now, local) / reference;
         if ratio > upper {
-            self.shut = true;
-        } else if ratio < upper * LOWER_OF_UPPER {
-            self.shut = false;
+            self.congested = true;
+        } else if ratio < upper * LOWER_BOUND_RATIO {
+            self.congested = false;
         }
-        self.shut
+        self.congested
     }
 }
 
-/// What the own exchange adds to every delay seen from it, and must not be held against the others.
+/// Delay, in seconds, that the local processor adds to all those observed; not a fault of remote processors.
 #[derive(Debug, Default)]
-struct Own {
-    /// Outcomes of the last second, a few at least: when, how far above the lowest for their processor,
-    /// and whether it was an answer.
+struct LocalDelay {
+    /// Recent outcomes: the time, the excess over the lowest delay of the processor, whether it is an answer.
     outcomes: VecDeque<(Duration, f64, bool)>,
-    /// The lowest delay of any answer, for processors not heard yet.
+    /// The lowest delay of any answer, for processors that have not answered yet.
     lowest: f64,
-    /// The least that any of them exceeded its lowest by: a wait that all share is here.
+    /// Minimum of these excess delays: a delay common to all recent outcomes arises here.
     delay: f64,
-    /// The own processor is shut for own calls: the two-bound latch of the far ones.
-    shut: bool,
-    /// End of the last standstill, from where ages run, and how long it was.
-    woke: Duration,
-    stood_still: Duration,
+    /// Whether the local processor is congested for originating calls, by the same two bounds.
+    congested: bool,
+    /// End of the last stall of this controller; ages count from here.
+    stall_end: Duration,
+    stall_duration: Duration,
 }
 
 /// One processor of the list, with its trunk group.
 #[derive(Debug)]
-struct Far {
+struct Peer {
     number: ExchangeNumber,
     zone: u32,
-    /// Gone ones are kept until the number has another: the trunk group outlives them.
+    /// A processor that is gone is kept until its number has another: the trunk group outlives it.
     phase: Phase,
     started_at: Duration,
-    /// When this controller was told of that start, and when its last set-up was due under the cold budget.
-    told: Duration,
-    due: Option<Duration>,
+    /// When this controller learned of that start.
+    learned_at: Duration,
+    /// When the last set-up was due under the cold budget.
+    last_due: Option<Duration>,
+    /// Free circuits of the trunk group, if known.
     free: Option<u32>,
     size: u32,
-    est: Estimate,
+    estimate: DelayEstimate,
 }
 
-impl Far {
-    /// Circuits that a tandem leg leaves free here.
-    fn reserve(&self, rank: Rank) -> u32 {
-        if rank == Rank::Valued {
+impl Peer {
+    /// Number of circuits that a call over this tandem leaves free on its first leg.
+    fn reserve(&self, priority: Priority) -> u32 {
+        if priority == Priority::High {
             return 0;
         }
-        ((f64::from(self.size).sqrt() * RESERVE_ROOTS).round() as u32).max(1)
+        ((f64::from(self.size).sqrt() * RESERVATION_SQRT_RATIO).round() as u32).max(1)
     }
 
-    fn has_room(&self, circuits: u32, reserve: u32) -> bool {
-        self.free.is_none_or(|f| f >= circuits.saturating_add(reserve))
+    fn has_room(&self, circuits: u32, reserved: u32) -> bool {
+        self.free.is_none_or(|free| free >= circuits.saturating_add(reserved))
     }
 }
 
 #[derive(Debug)]
 enum CallState {
-    /// Between attempts, until then.
+    /// Between attempts, until this time.
     Waiting(Duration),
-    Out(ExchangeId, Duration),
-    Standing,
+    /// An attempt is pending: its processor, and when it was sent.
+    Pending(ExchangeId, Duration),
+    Established,
 }
 
 #[derive(Debug)]
-struct Held {
-    new: NewCall,
+struct CallRecord {
+    info: NewCall,
     state: CallState,
     deadline: Duration,
-    /// When its caller first tried, as far as is known here.
-    first_try: Duration,
+    /// When the caller first tried, as far as this controller knows.
+    first_try_at: Duration,
     attempts: u32,
-    /// No answer is owed any more; kept for the outcome of its attempt.
-    over: bool,
-    /// Processors tried in vain.
+    /// The caller has left, so no final answer is due; the record is kept for the outcome of the attempt.
+    abandoned: bool,
+    /// Processors that failed for this call.
     tried: Vec<ExchangeId>,
-    /// Faults and ends of a connection after which it was sent again all the same.
-    excused: u32,
-    /// The first attempt that may have run: where and when.
+    /// Number of retries on the same processor after a fault or a lost connection.
+    same_processor_retries: u32,
+    /// The first attempt that may have run: its processor, and when it was sent.
     may_have_run: Option<(ExchangeId, Duration)>,
 }
 
-enum Wake {
-    Call(CallId),
-    List,
+/// What the controller does when a timer is due.
+enum Timer {
+    Route(CallId),
+    Subscribe,
 }
 
-/// What is known of the group between two other exchanges. A group serves both directions alike, so one
-/// entry speaks for either of the two as the tandem.
+/// Trunk group between two other exchanges. It carries calls in both directions: either can be the tandem.
 #[derive(Default)]
-struct Pair {
-    /// Left alone until then, after a turn-back.
-    rest_until: Duration,
-    /// Turn-backs in a row; none where the last news was a call that stood.
-    times: u32,
+struct RemoteGroup {
+    /// Not used before this time, after a refusal by the tandem.
+    backoff_until: Duration,
+    /// Number of refusals since the last answered call.
+    refusals: u32,
 }
 
-fn pair(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
+fn group_key(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
     (a.min(b), a.max(b))
 }
 
-/// What a call can still earn, against the others.
+/// Priority of a call, by the worth that it can still earn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Rank {
-    /// It can only stand late.
+enum Priority {
+    /// It can only be answered after its target delay.
     Late,
-    Ordinary,
-    /// Of much more than the mean worth.
-    Valued,
+    Normal,
+    /// Its worth is well above the mean.
+    High,
 }
 
-/// What admission and route choice come to.
-enum Verdict {
+/// Result of admission and route choice.
+enum Decision {
     Send(ExchangeId),
-    /// No way now, but there may soon be one.
-    Hold,
+    /// No usable route now, but one may become available soon.
+    Wait,
     Refuse,
 }
 
-/// The controller of one exchange (or one sender to pools).
+/// The controller of one exchange (or of one sender to pools).
 pub struct Controller {
     settings: Settings,
     now: Duration,
-    far: BTreeMap<ExchangeId, Far>,
-    calls: BTreeMap<CallId, Held>,
-    timers: BTreeMap<TimerId, Wake>,
+    peers: BTreeMap<ExchangeId, Peer>,
+    calls: BTreeMap<CallId, CallRecord>,
+    timers: BTreeMap<TimerId, Timer>,
     next_timer: u64,
-    /// The processor in service at a number: the one started last, should there be two.
-    serving: BTreeMap<ExchangeNumber, ExchangeId>,
-    /// What calls over tandems told of the groups between other exchanges.
-    pairs: BTreeMap<(ExchangeNumber, ExchangeNumber), Pair>,
-    /// Numbers found busy: gap between calls, seconds, and the next one.
-    busy: BTreeMap<DialledNumber, (f64, Duration)>,
-    /// First tries of calls refused or failed, to know them when dialled again, until their deadline.
-    refused: BTreeMap<DialledNumber, (Duration, Duration)>,
-    refused_swept: usize,
-    /// Mean aim of the own calls, seconds.
-    mean_aim: f64,
+    /// The processor in service at each number; if there are two, the one started last.
+    in_service: BTreeMap<ExchangeNumber, ExchangeId>,
+    /// Trunk groups between other exchanges, as observed by calls over tandems.
+    remote_groups: BTreeMap<(ExchangeNumber, ExchangeNumber), RemoteGroup>,
+    /// Numbers found busy: the interval between calls in seconds, and when the next call may go.
+    busy_numbers: BTreeMap<DialledNumber, (f64, Duration)>,
+    /// First tries of refused and failed calls, to recognise redials: the time, and when the entry expires.
+    first_tries: BTreeMap<DialledNumber, (Duration, Duration)>,
+    /// Number of entries in `first_tries` after expired ones were last removed, at least 64.
+    first_tries_kept: usize,
+    /// Mean target delay of originating calls, seconds.
+    mean_target: f64,
     mean_worth: f64,
-    /// Mean patience of the own calls that were not found late, seconds.
+    /// Mean patience of originating calls, seconds, without those read at the end of a stall.
     mean_patience: f64,
-    /// How soon callers leave, as a share of the aim; 1 while they stay.
-    hurry: f64,
-    own: Own,
-    /// The most answers seen in a second, fading and ever.
-    most_answers: f64,
-    most_ever: f64,
+    /// How long callers stay before they abandon, smoothed, over the target delay; 1 while they stay.
+    stay_ratio: f64,
+    local: LocalDelay,
+    /// Peak of the answers in a second, decaying.
+    peak_answer_rate: f64,
+    /// Highest value of `peak_answer_rate` ever.
+    max_answer_rate: f64,
     seed: u64,
-    list_fails: u32,
+    list_failures: u32,
 }
 
 impl Controller {
-    /// A controller without state. `seed` spreads what siblings would otherwise do in step.
+    /// Creates a controller without state. Controllers need different seeds, so that they do not act in step.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len() as f64;
-        let mean_aim = settings.classes.iter().map(|c| secs(c.target_delay)).sum::<f64>() / classes;
+        let mean_target = settings.classes.iter().map(|c| secs(c.target_delay)).sum::<f64>() / classes;
         let mean_worth = settings.classes.iter().map(|c| c.worth).sum::<f64>() / classes;
         Ok(Controller {
             settings,
             now: Duration::ZERO,
-            far: BTreeMap::new(),
+            peers: BTreeMap::new(),
             calls: BTreeMap::new(),
             timers: BTreeMap::new(),
             next_timer: 0,
-            serving: BTreeMap::new(),
-            pairs: BTreeMap::new(),
-            busy: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            refused_swept: 64,
-            mean_aim,
+            in_service: BTreeMap::new(),
+            remote_groups: BTreeMap::new(),
+            busy_numbers: BTreeMap::new(),
+            first_tries: BTreeMap::new(),
+            first_tries_kept: 64,
+            mean_target,
             mean_worth,
             mean_patience: 0.0,
-            hurry: 1.0,
-            own: Own { lowest: mean_aim, ..Own::default() },
-            most_answers: 0.0,
-            most_ever: 0.0,
+            stay_ratio: 1.0,
+            local: LocalDelay { lowest: mean_target, ..LocalDelay::default() },
+            peak_answer_rate: 0.0,
+            max_answer_rate: 0.0,
             seed,
-            list_fails: 0,
+            list_failures: 0,
         })
     }
 
-    /// What the controller was told at its start.
+    /// The settings that the controller was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Listed processors that get no ordinary set-up now: shut ones, as last judged, and those that drain.
+    /// Number of listed processors without ordinary set-ups: draining ones and those last found congested.
     pub fn avoided(&self) -> usize {
-        let avoided = |f: &&Far| f.phase == Phase::Draining || f.phase == Phase::InService && f.est.shut;
-        self.far.values().filter(avoided).count()
+        let avoided = |p: &&Peer| {
+            p.phase == Phase::Draining || p.phase == Phase::InService && p.estimate.congested
+        };
+        self.peers.values().filter(avoided).count()
     }
 
-    /// Takes in one event and appends what is to be done. `now` never goes back.
+    /// Handles one event and appends the resulting actions. An earlier `now` counts as the latest one so far.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let before = self.now;
         self.now = self.now.max(now);
-        if secs(self.now - before) > self.mean_aim * STANDSTILL_OF_AIM {
-            (self.own.woke, self.own.stood_still) = (self.now, self.now - before);
+        if secs(self.now - before) > self.mean_target * STALL_TIME_SHARE {
+            (self.local.stall_end, self.local.stall_duration) = (self.now, self.now - before);
         }
         match event {
             Event::Started => self.subscribe(actions),
-            Event::List(list) => self.take_list(list, actions),
-            Event::Call(new) => self.take_call(new, actions),
-            Event::Answered { call, attempt, delay } => self.stands(call, attempt, delay),
-            Event::AttemptEnded(end) => self.attempt_over(end, actions),
-            Event::CallerAbandoned(call) => self.caller_gone(call),
+            Event::List(list) => self.update_list(list, actions),
+            Event::Call(info) => self.new_call(info, actions),
+            Event::Answered { call, attempt, delay } => self.call_answered(call, attempt, delay),
+            Event::AttemptEnded(end) => self.attempt_ended(end, actions),
+            Event::CallerAbandoned(call) => self.caller_abandoned(call),
             Event::Circuits { exchange, free, size } => {
-                if let Some(far) = self.far.get_mut(&exchange) {
-                    (far.free, far.size) = (Some(free), size);
+                if let Some(peer) = self.peers.get_mut(&exchange) {
+                    (peer.free, peer.size) = (Some(free), size);
                 }
             }
             Event::Timer(timer) => match self.timers.remove(&timer) {
-                Some(Wake::Call(call)) => self.wake(call, actions),
-                Some(Wake::List) => self.subscribe(actions),
+                Some(Timer::Route(call)) => self.wait_timer_due(call, actions),
+                Some(Timer::Subscribe) => self.subscribe(actions),
                 None => {}
             },
         }
     }
 
-    // ---- Far-processor estimate and latch -------------------------------------------------------
+    // ---- Delay estimate and congestion flag -----------------------------------------------------
 
-    fn shut(&mut self, exchange: ExchangeId) -> bool {
-        let (now, aim, own) = (self.now, self.mean_aim * self.hurry, &self.own);
-        self.far.get_mut(&exchange).is_none_or(|f| f.est.latch(now, aim, own))
+    /// Updates the congestion flag of a processor and returns it; an unknown processor counts as congested.
+    fn update_congested(&mut self, exchange: ExchangeId) -> bool {
+        let (now, target, local) = (self.now, self.mean_target * self.stay_ratio, &self.local);
+        self.peers.get_mut(&exchange).is_none_or(|p| p.estimate.update_flag(now, target, local))
     }
 
-    /// Whether a shut processor is due its sample set-up. A sample unanswered holds the next one back
-    /// until it is answered or given up, so that samples do not themselves feed a backlog.
-    fn sample_due(&self, exchange: ExchangeId) -> bool {
-        self.far.get(&exchange).map(|f| &f.est).is_some_and(|e| {
-            let gap_over = e.last_set_up.is_none_or(|t| self.now >= t + SAMPLE_GAP);
-            gap_over && e.unanswered.is_empty() && self.now >= e.rest_until
+    /// Whether a probe is due: not while a set-up is unanswered, so that probes do not add to a backlog.
+    fn probe_due(&self, exchange: ExchangeId) -> bool {
+        self.peers.get(&exchange).map(|p| &p.estimate).is_some_and(|e| {
+            let interval_over = e.last_sent_at.is_none_or(|t| self.now >= t + SAMPLE_PERIOD);
+            interval_over && e.unanswered.is_empty() && self.now >= e.probe_from
         })
     }
 
-    /// Whether a set-up to a processor would still stand well within a class's aim. Lets calls of much
-    /// more than the mean worth pass a latch that is shut for the others' sake.
-    fn in_time(&self, exchange: ExchangeId, class: usize) -> bool {
-        let most = secs(self.settings.classes[class].target_delay) * VALUED_OF_AIM - self.own.delay;
-        self.far.get(&exchange).is_some_and(|f| f.est.expected(self.now, &self.own) < most)
-    }
-
-    /// Notes how far an outcome of a set-up lay above the lowest delay of its processor: what all share is
-    /// the own processor's. Guards against shutting every latch for a wait that is here, and against a
-    /// jam here in which all own set-ups time out. Where all far processors slow alike it takes theirs
-    /// for the own one, which then sheds in their place.
-    fn outcome(&mut self, exchange: ExchangeId, delay: f64, answer: bool) {
-        let (now, own) = (self.now, &mut self.own);
-        own.lowest = if answer { own.lowest.min(delay) } else { own.lowest };
-        let lowest = self.far.get(&exchange).and_then(|f| f.est.lowest).unwrap_or(own.lowest);
-        let gap = own.outcomes.back().map_or(0.0, |(t, ..)| secs(now - *t));
-        self.most_answers *= (-gap / ANSWER_SPAN).exp();
-        own.outcomes.push_back((now, delay - lowest, answer));
-        while own.outcomes.len() > ENOUGH_OUTCOMES && own.outcomes[0].0 + SAMPLE_GAP < now {
-            own.outcomes.pop_front();
-        }
-        let answers = own.outcomes.iter().filter(|(t, _, a)| *a && *t + SAMPLE_GAP >= now).count();
-        self.most_answers = self.most_answers.max(answers as f64);
-        self.most_ever = self.most_ever.max(self.most_answers);
-        let least = own.outcomes.iter().map(|(_, e, _)| *e).fold(f64::INFINITY, f64::min);
-        own.delay = if own.outcomes.len() < ENOUGH_OUTCOMES { 0.0 } else { least.max(0.0) };
-        let upper = self.mean_aim * self.hurry * UPPER_OF_AIM;
-        own.shut = own.delay > upper || own.shut && own.delay > upper * LOWER_OF_UPPER;
-    }
-
-    /// Whether the set-ups out, at the rate at which answers come back, already amount to a delay beyond
-    /// the upper bound: all of them pass the own processor. Guards against bursts (calls cut and dialled
-    /// again, a flash crowd, a slowed own processor) that no far delay shows before it is too late.
-    /// Set-ups to shut processors wait there and do not count. Could harm after a lull, until answers show
-    /// again what rate is possible; a few are always let out. With the own latch shut it is one, a sample.
-    fn backlogged(&self, rank: Rank) -> bool {
-        let open = self.far.values().filter(|f| self.own.shut || !f.est.shut);
-        let out: usize = open.map(|f| f.est.unanswered.len()).sum();
-        let most = self.most_answers * self.mean_aim * self.hurry * UPPER_OF_AIM;
-        let part = if rank == Rank::Late { LATE_PART } else { 1.0 };
-        let most = part * most.max(LEAST_OUT.min(self.far.len() as f64));
-        out as f64 >= if self.own.shut { 1.0 } else { most }
+    /// Whether a set-up would be answered well in time, so that a high-priority call may ignore congestion.
+    fn answers_in_time(&self, exchange: ExchangeId, class: usize) -> bool {
+        let limit = secs(self.settings.classes[class].target_delay) * HIGH_PRIORITY_DELAY_SHARE
+            - self.local.delay;
+        self.peers.get(&exchange).is_some_and(|p| p.estimate.expected(self.now, &self.local) < limit)
+    }
+
+    /// Records by how much a delay exceeds the lowest of its processor. The excess common to all recent
+    /// outcomes is attributed to the local processor. Guards against marking every remote processor as
+    /// congested because of a queue here, and against an overload here in which all set-ups time out. If all
+    /// remote processors slow down alike, the local one counts as slow and sheds load in their place.
+    fn record_outcome(&mut self, exchange: ExchangeId, delay: f64, is_answer: bool) {
+        let (now, local) = (self.now, &mut self.local);
+        local.lowest = if is_answer { local.lowest.min(delay) } else { local.lowest };
+        let lowest = self.peers.get(&exchange).and_then(|p| p.estimate.lowest).unwrap_or(local.lowest);
+        let elapsed = local.outcomes.back().map_or(0.0, |(t, ..)| secs(now - *t));
+        self.peak_answer_rate *= (-elapsed / PEAK_RATE_DECAY_SECS).exp();
+        local.outcomes.push_back((now, delay - lowest, is_answer));
+        while local.outcomes.len() > MIN_OUTCOMES && local.outcomes[0].0 + SAMPLE_PERIOD < now {
+            local.outcomes.pop_front();
+        }
+        let answers = local.outcomes.iter().filter(|(t, _, a)| *a && *t + SAMPLE_PERIOD >= now).count();
+        self.peak_answer_rate = self.peak_answer_rate.max(answers as f64);
+        self.max_answer_rate = self.max_answer_rate.max(self.peak_answer_rate);
+        let excess = local.outcomes.iter().map(|(_, e, _)| *e).fold(f64::INFINITY, f64::min);
+        local.delay = if local.outcomes.len() < MIN_OUTCOMES { 0.0 } else { excess.max(0.0) };
+        let upper = self.mean_target * self.stay_ratio * UPPER_BOUND_SHARE;
+        local.congested =
+            local.delay > upper || local.congested && local.delay > upper * LOWER_BOUND_RATIO;
+    }
+
+    /// Whether the set-ups in flight, at the peak answer rate, amount to a delay above the upper bound: all
+    /// pass the local processor. Guards against bursts (dropped calls dialled again, mass calling, a slow
+    /// local processor) that remote delays show too late. Set-ups to congested processors wait there and do
+    /// not count. After a lull the limit could be too low until answers show the possible rate, so a few are
+    /// always allowed. While the local processor is congested, the limit is one: a probe.
+    fn in_flight_limit_reached(&self, priority: Priority) -> bool {
+        let counted = self.peers.values().filter(|p| self.local.congested || !p.estimate.congested);
+        let in_flight: usize = counted.map(|p| p.estimate.unanswered.len()).sum();
+        let limit = self.peak_answer_rate * self.mean_target * self.stay_ratio * UPPER_BOUND_SHARE;
+        let share = if priority == Priority::Late { LATE_IN_FLIGHT_SHARE } else { 1.0 };
+        let limit = share * limit.max(MIN_IN_FLIGHT_LIMIT.min(self.peers.len() as f64));
+        in_flight as f64 >= if self.local.congested { 1.0 } else { limit }
     }
 
     // ---- Admission ------------------------------------------------------------------------------
 
-    /// Decides a call that has no attempt out: where it goes now, or that it is refused.
-    fn decide(&mut self, call: CallId) -> Verdict {
-        let Some(held) = self.calls.get(&call) else {
-            return Verdict::Refuse;
+    /// Decides whether a call without a pending attempt is sent now, waits or is refused.
+    fn decide(&mut self, call: CallId) -> Decision {
+        let Some(record) = self.calls.get(&call) else {
+            return Decision::Refuse;
         };
-        let new = held.new.clone();
-        if held.attempts >= self.settings.max_attempts
-            || held.deadline <= self.now + self.settings.tick_interval
+        let info = record.info.clone();
+        if record.attempts >= self.settings.max_attempts
+            || record.deadline <= self.now + self.settings.tick_interval
         {
-            return Verdict::Refuse;
+            return Decision::Refuse;
         }
-        let transit = new.origin == Origin::Transit;
-        let first = held.attempts == 0;
-        if first && !transit && !self.number_open(new.dialled) {
-            return Verdict::Refuse;
+        let transit = info.origin == Origin::Transit;
+        let first_attempt = record.attempts == 0;
+        if first_attempt && !transit && !self.admit_to_number(info.dialled) {
+            return Decision::Refuse;
         }
-        let Some(destination) = self.serving(new.destination) else {
-            return Verdict::Refuse;
+        let Some(destination) = self.processor_at(info.destination) else {
+            return Decision::Refuse;
         };
-        let rank = self.rank(call);
-        let passes = rank == Rank::Valued && self.in_time(destination, new.class);
-        let shut = self.shut(destination) && !passes;
-        let sample = first && rank != Rank::Late && self.sample_due(destination);
-        if self.backlogged(rank) || shut && !sample {
-            return Verdict::Hold;
-        }
-        let reserve = match rank {
-            Rank::Ordinary | Rank::Valued if !transit => 0,
-            _ => self.far[&destination].reserve(rank),
+        let priority = self.priority(call);
+        let bypass = priority == Priority::High && self.answers_in_time(destination, info.class);
+        let congested = self.update_congested(destination) && !bypass;
+        let probe = first_attempt && priority != Priority::Late && self.probe_due(destination);
+        if self.in_flight_limit_reached(priority) || congested && !probe {
+            return Decision::Wait;
+        }
+        let reserved = match priority {
+            Priority::Normal | Priority::High if !transit => 0,
+            _ => self.peers[&destination].reserve(priority),
         };
-        let held = &self.calls[&call];
-        let direct_ok = !held.tried.contains(&destination) && self.may_send(held, destination);
-        if direct_ok && self.far[&destination].has_room(new.circuits, reserve) {
-            return Verdict::Send(destination);
-        }
-        let knocked = self.calls[&call].tried.len() >= MOST_TANDEMS;
-        if transit || shut || knocked || rank == Rank::Late || !self.warm_enough(destination, true) {
-            return Verdict::Hold;
-        }
-        self.tandem(call, &new, rank).map_or(Verdict::Hold, Verdict::Send)
-    }
-
-    /// A call's rank. The aim runs from the caller's first try, so one who was refused and dials again
-    /// late earns little and would take what a fresh call needs: under pressure late calls yield. So does
-    /// one that the own exchange's wait will make late: sent, it would only keep others from their time.
-    fn rank(&self, call: CallId) -> Rank {
-        let held = &self.calls[&call];
-        let class = &self.settings.classes[held.new.class];
-        if secs(self.now - held.first_try) + self.own.delay >= secs(class.target_delay) {
-            Rank::Late
-        } else if class.worth >= VALUED_WORTH * self.mean_worth {
-            Rank::Valued
+        let record = &self.calls[&call];
+        let direct_allowed = !record.tried.contains(&destination) && self.may_send(record, destination);
+        if direct_allowed && self.peers[&destination].has_room(info.circuits, reserved) {
+            return Decision::Send(destination);
+        }
+        let too_many_tried = self.calls[&call].tried.len() >= MAX_TANDEM_ATTEMPTS;
+        if transit
+            || congested
+            || too_many_tried
+            || priority == Priority::Late
+            || !self.cold_budget_allows(destination, true)
+        {
+            return Decision::Wait;
+        }
+        self.choose_tandem(call, &info, priority).map_or(Decision::Wait, Decision::Send)
+    }
+
+    /// Rates a call. Its target delay counts from the caller's first try: a caller who redials after it earns
+    /// little and would take resources that a fresh call needs, so late calls yield under load. So do calls
+    /// that the local delay will make late: sending them would only delay others.
+    fn priority(&self, call: CallId) -> Priority {
+        let record = &self.calls[&call];
+        let class = &self.settings.classes[record.info.class];
+        if secs(self.now - record.first_try_at) + self.local.delay >= secs(class.target_delay) {
+            Priority::Late
+        } else if class.worth >= HIGH_PRIORITY_WORTH_RATIO * self.mean_worth {
+            Priority::High
         } else {
-            Rank::Ordinary
+            Priority::Normal
         }
     }
 
-    /// Guards against a number whose lines are all busy and whose callers dial again at once: one call a
-    /// gap, the gap doubled by each busy answer and halved by each call that stands.
-    fn number_open(&mut self, dialled: DialledNumber) -> bool {
+    /// Admits one call per interval to a number found busy; each busy answer doubles the interval, each
+    /// answered call halves it. Guards against callers who redial at once while all lines are busy.
+    fn admit_to_number(&mut self, dialled: DialledNumber) -> bool {
         let now = self.now;
-        self.busy.get_mut(&dialled).is_none_or(|(gap, next)| {
-            let open = now >= *next;
-            *next = if open { now + Duration::from_secs_f64(*gap) } else { *next };
-            open
+        self.busy_numbers.get_mut(&dialled).is_none_or(|(interval, next)| {
+            let admit = now >= *next;
+            *next = if admit { now + Duration::from_secs_f64(*interval) } else { *next };
+            admit
         })
     }
 
     // ---- Route choice ---------------------------------------------------------------------------
 
-    /// The processor in service at a number. Direct and tandem routes both go by it, so nothing new
-    /// reaches a processor told to drain or gone.
-    fn serving(&self, number: ExchangeNumber) -> Option<ExchangeId> {
-        self.serving.get(&number).copied()
+    /// The processor in service at a number, for all routes: no set-up reaches one that is draining or gone.
+    fn processor_at(&self, number: ExchangeNumber) -> Option<ExchangeId> {
+        self.in_service.get(&number).copied()
     }
 
-    /// The open tandem of lowest smoothed delay with room on its first leg; unheard counts as lowest.
-    /// Tandems whose second leg is known to have had room go first: the advised one, then those over which
-    /// a call stood last. Where pairs lack a group a blind try is turned back half the time, at the cost
-    /// of two looks. Equal ones are told apart by the seed, so that siblings do not all take the same.
-    fn tandem(&mut self, call: CallId, new: &NewCall, rank: Rank) -> Option<ExchangeId> {
-        let ids: Vec<_> = self.serving.iter().map(|(n, id)| (*n, *id)).collect();
+    /// Chooses the tandem of lowest smoothed delay (zero without samples) that is not congested and has room
+    /// on its first leg. Tandems whose second leg had room come first: the route hint, then those whose last
+    /// call there was answered. Where some exchanges have no trunk group between them, half of the other
+    /// tries are refused, at the cost of work on two processors. The seed breaks ties, so that controllers
+    /// choose different tandems.
+    fn choose_tandem(&mut self, call: CallId, info: &NewCall, priority: Priority) -> Option<ExchangeId> {
+        let ids: Vec<_> = self.in_service.iter().map(|(n, id)| (*n, *id)).collect();
         let mut best: Option<((u32, f64, u64), ExchangeId)> = None;
         for (number, id) in ids {
-            let open = !self.shut(id);
-            let (held, far) = (&self.calls[&call], &self.far[&id]);
-            let pair = self.pairs.get(&pair(number, new.destination));
-            if !open
-                || number == new.destination
-                || pair.is_some_and(|p| p.rest_until > self.now)
-                || held.tried.contains(&id)
-                || !far.has_room(new.circuits, far.reserve(rank))
-                || !self.may_send(held, id)
+            let usable = !self.update_congested(id);
+            let (record, peer) = (&self.calls[&call], &self.peers[&id]);
+            let group = self.remote_groups.get(&group_key(number, info.destination));
+            if !usable
+                || number == info.destination
+                || group.is_some_and(|g| g.backoff_until > self.now)
+                || record.tried.contains(&id)
+                || !peer.has_room(info.circuits, peer.reserve(priority))
+                || !self.may_send(record, id)
             {
                 continue;
             }
-            let stood = pair.is_some_and(|p| p.times == 0);
-            let doubt = if new.route_hint == Some(number) { 0 } else { 2 - u32::from(stood) };
-            let delay = self.far[&id].est.smoothed.unwrap_or(0.0);
-            let spread = (self.seed ^ u64::from(number.0)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-            let key = (doubt, delay, spread);
+            let answered = group.is_some_and(|g| g.refusals == 0);
+            let leg_rank = if info.route_hint == Some(number) { 0 } else { 2 - u32::from(answered) };
+            let delay = self.peers[&id].estimate.smoothed.unwrap_or(0.0);
+            let tie_breaker = (self.seed ^ u64::from(number.0)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+            let key = (leg_rank, delay, tie_breaker);
             if best.as_ref().is_none_or(|(k, _)| key < *k) {
                 best = Some((key, id));
             }
@@ -526,399 +542,415 @@
 
     // ---- Attempts -------------------------------------------------------------------------------
 
-    fn take_call(&mut self, new: NewCall, actions: &mut Vec<Action>) {
-        let call = new.call;
-        if new.class >= self.settings.classes.len() {
+    fn new_call(&mut self, info: NewCall, actions: &mut Vec<Action>) {
+        let call = info.call;
+        if info.class >= self.settings.classes.len() {
             return actions.push(Action::Fail(call));
         } else if self.calls.contains_key(&call) {
             return;
         }
-        if new.origin != Origin::Transit {
-            let aim = secs(self.settings.classes[new.class].target_delay);
-            self.mean_aim += (aim - self.mean_aim) * MIX_WEIGHT;
-            let worth = self.settings.classes[new.class].worth;
-            self.mean_worth += (worth - self.mean_worth) * MIX_WEIGHT;
-            if self.now != self.own.woke {
-                self.mean_patience += (secs(new.patience) - self.mean_patience) * CALLER_WEIGHT;
+        if info.origin != Origin::Transit {
+            let target = secs(self.settings.classes[info.class].target_delay);
+            self.mean_target += (target - self.mean_target) * CALL_WEIGHT;
+            let worth = self.settings.classes[info.class].worth;
+            self.mean_worth += (worth - self.mean_worth) * CALL_WEIGHT;
+            if self.now != self.local.stall_end {
+                self.mean_patience += (secs(info.patience) - self.mean_patience) * PATIENCE_WEIGHT;
             }
         }
-        // Found at the end of a standstill, a call has waited by as much as its patience is short.
-        let found_late = self.now == self.own.woke && new.origin != Origin::Transit;
-        let short = Duration::from_secs_f64((self.mean_patience - secs(new.patience)).max(0.0));
-        let waited = if found_late { short.min(self.own.stood_still) } else { Duration::ZERO };
-        let fresh = matches!(new.origin, Origin::Transit | Origin::DroppedCall);
-        let known = self.refused.get(&new.dialled).filter(|(_, until)| !fresh && *until > self.now);
-        let first_try = known.map_or(self.now.saturating_sub(waited), |(first, _)| *first);
-        let held = Held {
-            first_try,
-            deadline: self.now.saturating_add(new.patience),
-            new,
+        // A call read after a stall has waited; the wait is estimated as the mean patience less its own.
+        let after_stall = self.now == self.local.stall_end && info.origin != Origin::Transit;
+        let missing = Duration::from_secs_f64((self.mean_patience - secs(info.patience)).max(0.0));
+        let waited = if after_stall { missing.min(self.local.stall_duration) } else { Duration::ZERO };
+        let fresh = matches!(info.origin, Origin::Transit | Origin::DroppedCall);
+        let prior = self.first_tries.get(&info.dialled).filter(|(_, until)| !fresh && *until > self.now);
+        let first_try_at = prior.map_or(self.now.saturating_sub(waited), |(first, _)| *first);
+        let record = CallRecord {
+            first_try_at,
+            deadline: self.now.saturating_add(info.patience),
+            info,
             state: CallState::Waiting(self.now),
             attempts: 0,
-            over: false,
+            abandoned: false,
             tried: Vec::new(),
-            excused: 0,
+            same_processor_retries: 0,
             may_have_run: None,
         };
-        self.calls.insert(call, held);
-        self.proceed(call, actions);
+        self.calls.insert(call, record);
+        self.route_call(call, actions);
     }
 
-    /// Carries out the decision on a call that has no attempt out.
-    fn proceed(&mut self, call: CallId, actions: &mut Vec<Action>) {
+    /// Decides a call that has no pending attempt, and carries out the decision.
+    fn route_call(&mut self, call: CallId, actions: &mut Vec<Action>) {
         match self.decide(call) {
-            Verdict::Send(exchange) => self.send(call, exchange, actions),
-            Verdict::Hold if self.may_hold(call) => {
-                if let Some(held) = self.calls.get_mut(&call) {
-                    held.state = CallState::Waiting(self.now + HOLD_STEP);
+            Decision::Send(exchange) => self.send_set_up(call, exchange, actions),
+            Decision::Wait if self.may_wait(call) => {
+                if let Some(record) = self.calls.get_mut(&call) {
+                    record.state = CallState::Waiting(self.now + ROUTE_RETRY_INTERVAL);
                 }
-                self.timer(HOLD_STEP, Wake::Call(call), actions);
+                self.set_timer(ROUTE_RETRY_INTERVAL, Timer::Route(call), actions);
             }
-            _ => self.answer(call, actions),
+            _ => self.refuse_or_fail(call, actions),
         }
     }
 
-    /// Whether a call that finds no way now waits for one: only while it could still stand in time. Else it
-    /// is answered at once, with the time to come back. Each try costs a look at the own processor, which
-    /// a short wait saves; could harm where callers would do better elsewhere at once.
-    fn may_hold(&self, call: CallId) -> bool {
-        let held = &self.calls[&call];
-        let aim = self.settings.classes[held.new.class].target_delay;
-        let until = held.first_try + aim.mul_f64(HOLD_OF_AIM * self.hurry);
-        let in_time = self.rank(call) != Rank::Late && self.now + HOLD_STEP < until.min(held.deadline);
-        held.new.origin != Origin::Transit && in_time
+    /// Whether a call waits for a route: only while it could still be answered in time. Otherwise it is
+    /// refused at once, which leaves its caller time to redial. Each redial costs processing here, which a
+    /// short wait saves. This could harm where callers would do better elsewhere at once.
+    fn may_wait(&self, call: CallId) -> bool {
+        let record = &self.calls[&call];
+        let target = self.settings.classes[record.info.class].target_delay;
+        let until = record.first_try_at + target.mul_f64(MAX_ROUTE_WAIT_SHARE * self.stay_ratio);
+        let in_time = self.priority(call) != Priority::Late
+            && self.now + ROUTE_RETRY_INTERVAL < until.min(record.deadline);
+        record.info.origin != Origin::Transit && in_time
     }
 
-    fn send(&mut self, call: CallId, exchange: ExchangeId, actions: &mut Vec<Action>) {
+    fn send_set_up(&mut self, call: CallId, exchange: ExchangeId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let due = self.far.get(&exchange).map(|f| self.cold_due(f));
-        let (Some(held), Some(far)) = (self.calls.get_mut(&call), self.far.get_mut(&exchange)) else {
+        let due = self.peers.get(&exchange).map(|p| self.cold_set_up_due(p));
+        let (Some(record), Some(peer)) = (self.calls.get_mut(&call), self.peers.get_mut(&exchange))
+        else {
             return;
         };
-        far.due = due.map(|(due, gap)| due.max(now.saturating_sub(gap)));
-        held.attempts += 1;
-        held.state = CallState::Out(exchange, now);
-        far.est.last_set_up = Some(now);
-        far.est.unanswered.insert((now, call));
-        far.free = far.free.map(|f| f.saturating_sub(held.new.circuits));
-        // What stands later than the aim earns little, and its work and circuits are wanted by others.
-        let aim = self.settings.classes[held.new.class].target_delay;
-        let timeout = held.deadline.saturating_sub(now).min(aim);
+        peer.last_due = due.map(|(due, interval)| due.max(now.saturating_sub(interval)));
+        record.attempts += 1;
+        record.state = CallState::Pending(exchange, now);
+        peer.estimate.last_sent_at = Some(now);
+        peer.estimate.unanswered.insert((now, call));
+        peer.free = peer.free.map(|f| f.saturating_sub(record.info.circuits));
+        // A call answered after its target delay earns little, and others need its processing and circuits.
+        let target = self.settings.classes[record.info.class].target_delay;
+        let timeout = record.deadline.saturating_sub(now).min(target);
         actions.push(Action::SetUp { call, exchange, timeout });
     }
 
-    /// The final answer, and the end of the call's state.
-    fn answer(&mut self, call: CallId, actions: &mut Vec<Action>) {
-        let Some(held) = self.calls.remove(&call) else {
+    /// Gives the final answer and removes the call.
+    fn refuse_or_fail(&mut self, call: CallId, actions: &mut Vec<Action>) {
+        let Some(record) = self.calls.remove(&call) else {
             return;
         };
-        self.note_first_try(&held);
-        let idempotency = self.settings.classes[held.new.class].idempotency;
-        if held.may_have_run.is_none() || idempotency.allows_refusal() {
-            let retry_after = Some(self.stay_away(&held)).filter(|d| !d.is_zero());
+        self.remember_first_try(&record);
+        let idempotency = self.settings.classes[record.info.class].idempotency;
+        if record.may_have_run.is_none() || idempotency.allows_refusal() {
+            let retry_after = Some(self.retry_after(&record)).filter(|d| !d.is_zero());
             actions.push(Action::Refuse { call, retry_after });
         } else {
             actions.push(Action::Fail(call));
         }
     }
 
-    /// How long a refused caller should stay away. While the call could still stand in time it is told to be
-    /// back within that time; to a busy number, when the next call may go there; else to stay away for as
-    /// long as callers do. Guards against callers who come back when their call is worth little and keep
-    /// others from their time; could harm where the way stays shut, by a look for each try.
-    fn stay_away(&self, held: &Held) -> Duration {
-        let most = self.settings.max_retry_after;
-        if let Some((_, next)) = self.busy.get(&held.new.dialled).filter(|(_, next)| *next > self.now) {
-            return (*next - self.now).min(most);
+    /// Time after which a refused caller should redial. For a busy number: when the next call may go there.
+    /// While the call could still be answered in time: a share of the time left. Otherwise: the longest that
+    /// callers honour. Guards against redials of calls worth little, which delay others. This could harm
+    /// where no route becomes available, as each redial costs processing.
+    fn retry_after(&self, record: &CallRecord) -> Duration {
+        let max = self.settings.max_retry_after;
+        if let Some((_, next)) =
+            self.busy_numbers.get(&record.info.dialled).filter(|(_, next)| *next > self.now)
+        {
+            return (*next - self.now).min(max);
         }
-        let aim = self.settings.classes[held.new.class].target_delay;
-        let left = secs((held.first_try + aim).saturating_sub(self.now)) - self.own.delay;
+        let target = self.settings.classes[record.info.class].target_delay;
+        let left = secs((record.first_try_at + target).saturating_sub(self.now)) - self.local.delay;
         if left > 0.0 {
-            most.min(Duration::from_secs_f64(left * STAY_OF_LEFT))
+            max.min(Duration::from_secs_f64(left * RETRY_AFTER_SHARE))
         } else {
-            most
+            max
         }
     }
 
-    /// Remembers when the caller of a call that came to nothing first tried.
-    fn note_first_try(&mut self, held: &Held) {
-        if held.new.origin == Origin::Transit {
+    /// Remembers when the caller of a refused, failed or abandoned call first tried.
+    fn remember_first_try(&mut self, record: &CallRecord) {
+        if record.info.origin == Origin::Transit {
             return;
         }
-        let until = held.first_try + self.settings.classes[held.new.class].deadline;
-        self.refused.insert(held.new.dialled, (held.first_try, until));
-        if self.refused.len() >= self.refused_swept * 2 {
-            self.refused.retain(|_, (_, until)| *until > self.now);
-            self.refused_swept = self.refused.len().max(64);
+        let until = record.first_try_at + self.settings.classes[record.info.class].deadline;
+        self.first_tries.insert(record.info.dialled, (record.first_try_at, until));
+        if self.first_tries.len() >= self.first_tries_kept * 2 {
+            self.first_tries.retain(|_, (_, until)| *until > self.now);
+            self.first_tries_kept = self.first_tries.len().max(64);
         }
     }
 
-    /// Ends the wait for an attempt; gives its processor and send time if it was the one out.
-    fn attempt_ended(&mut self, call: CallId, attempt: u32) -> Option<(ExchangeId, Duration)> {
-        let held = self.calls.get_mut(&call)?;
-        let CallState::Out(exchange, sent) = held.state else {
+    /// Ends an attempt and returns its processor and send time, or `None` if it is not the pending one.
+    fn end_pending(&mut self, call: CallId, attempt: u32) -> Option<(ExchangeId, Duration)> {
+        let record = self.calls.get_mut(&call)?;
+        let CallState::Pending(exchange, sent_at) = record.state else {
             return None;
         };
-        if attempt.checked_add(1) != Some(held.attempts) {
+        if attempt.checked_add(1) != Some(record.attempts) {
             return None;
         }
-        if let Some(far) = self.far.get_mut(&exchange) {
-            far.est.unanswered.remove(&(sent, call));
+        if let Some(peer) = self.peers.get_mut(&exchange) {
+            peer.estimate.unanswered.remove(&(sent_at, call));
         }
-        Some((exchange, sent))
+        Some((exchange, sent_at))
     }
 
-    fn stands(&mut self, call: CallId, attempt: u32, delay: Duration) {
-        let Some((exchange, sent)) = self.attempt_ended(call, attempt) else {
+    fn call_answered(&mut self, call: CallId, attempt: u32, delay: Duration) {
+        let Some((exchange, sent_at)) = self.end_pending(call, attempt) else {
             return;
         };
-        let Some(held) = self.calls.get_mut(&call) else {
+        let Some(record) = self.calls.get_mut(&call) else {
             return;
         };
-        held.state = CallState::Standing;
-        self.hurry += (1.0 - self.hurry) * HURRY_WEIGHT * 0.5;
-        let (dialled, destination) = (held.new.dialled, held.new.destination);
-        if let Some((gap, _)) = self.busy.get_mut(&dialled) {
-            *gap *= 0.5;
+        record.state = CallState::Established;
+        self.stay_ratio += (1.0 - self.stay_ratio) * ABANDON_WEIGHT * 0.5;
+        let (dialled, destination) = (record.info.dialled, record.info.destination);
+        if let Some((interval, _)) = self.busy_numbers.get_mut(&dialled) {
+            *interval *= 0.5;
         }
-        if let Some(tandem) = self.far.get(&exchange).map(|f| f.number) {
+        if let Some(tandem) = self.peers.get(&exchange).map(|p| p.number) {
             if tandem != destination {
-                self.pairs.insert(pair(tandem, destination), Pair::default());
+                self.remote_groups.insert(group_key(tandem, destination), RemoteGroup::default());
             }
         }
-        self.outcome(exchange, secs(delay), true);
-        self.sample_answer(exchange, sent, secs(delay));
-    }
-
-    /// A delay seen by an answer. The lowest is taken as it was seen; of what lies above it, the own
-    /// exchange's part is taken off.
-    fn sample_answer(&mut self, exchange: ExchangeId, sent: Duration, delay: f64) {
-        let own = self.own.delay;
-        if let Some(far) = self.far.get_mut(&exchange) {
-            let lowest = far.est.lowest.map_or(delay, |l| l.min(delay)).max(1e-3);
-            far.est.lowest = Some(lowest);
-            far.est.faults = 0;
-            far.est.sample(sent, (delay - own).max(lowest.min(delay)));
-        }
-    }
-
-    /// Takes in a fault, or a connection that ended: they come from more than a jam, as a spoilt answer or
-    /// a call that nobody could have served. Each stands for the delay it took where that is above the
-    /// estimate, and else for none, since a processor that fails at once is no tandem of low delay. Only
-    /// faults in a row stand for a long delay. Guards against shutting a processor that serves most of its
-    /// calls; could harm, by the work of some set-ups more, where one fails for good.
-    fn failure(&mut self, exchange: ExchangeId, sent: Duration, (delay, long): (f64, f64), fault: bool) {
-        let own = self.own.delay;
-        if let Some(est) = self.far.get_mut(&exchange).map(|f| &mut f.est) {
-            est.faults += u32::from(fault);
-            let delay = if est.faults >= FAULTS_IN_A_ROW { long } else { delay } - own;
-            if est.smoothed.is_some_and(|s| delay > s) {
-                est.sample(sent, delay);
+        self.record_outcome(exchange, secs(delay), true);
+        self.record_answer_delay(exchange, sent_at, secs(delay));
+    }
+
+    /// Records the delay of an answer. The lowest delay is kept as observed; the local delay is subtracted
+    /// only from the part above the lowest.
+    fn record_answer_delay(&mut self, exchange: ExchangeId, sent_at: Duration, delay: f64) {
+        let added = self.local.delay;
+        if let Some(peer) = self.peers.get_mut(&exchange) {
+            let lowest = peer.estimate.lowest.map_or(delay, |l| l.min(delay)).max(1e-3);
+            peer.estimate.lowest = Some(lowest);
+            peer.estimate.faults = 0;
+            peer.estimate.add_sample(sent_at, (delay - added).max(lowest.min(delay)));
+        }
+    }
+
+    /// Records a fault or a lost connection. Both also have causes other than congestion, such as a corrupted
+    /// answer or a call that no processor could serve. The delay counts only if it is above the estimate: a
+    /// processor that fails at once must not become the tandem of lowest delay. Only many faults in a row
+    /// count as the penalty delay. Guards against marking a processor as congested that serves most of its
+    /// calls. This could harm where a processor fails for good, by some more failed set-ups.
+    fn record_failure(
+        &mut self,
+        exchange: ExchangeId,
+        sent_at: Duration,
+        (delay, penalty): (f64, f64),
+        is_fault: bool,
+    ) {
+        let added = self.local.delay;
+        if let Some(estimate) = self.peers.get_mut(&exchange).map(|p| &mut p.estimate) {
+            estimate.faults += u32::from(is_fault);
+            let delay = if estimate.faults >= CONSECUTIVE_FAULT_LIMIT { penalty } else { delay } - added;
+            if estimate.smoothed.is_some_and(|s| delay > s) {
+                estimate.add_sample(sent_at, delay);
             }
         }
     }
 
-    fn attempt_over(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
+    fn attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let (call, call_ended) = (end.call, end.call_ended);
-        let Some(held) = self.calls.get(&call) else {
+        let Some(record) = self.calls.get(&call) else {
             return;
         };
-        let class = &self.settings.classes[held.new.class];
-        let (hold, to, dialled) = (secs(class.mean_hold), held.new.destination, held.new.dialled);
-        let Some((exchange, sent)) = self.attempt_ended(call, end.attempt) else {
-            if call_ended && matches!(self.calls[&call].state, CallState::Standing) {
+        let class = &self.settings.classes[record.info.class];
+        let (mean_hold, destination, dialled) =
+            (secs(class.mean_hold), record.info.destination, record.info.dialled);
+        let Some((exchange, sent_at)) = self.end_pending(call, end.attempt) else {
+            if call_ended && matches!(self.calls[&call].state, CallState::Established) {
                 self.calls.remove(&call);
             }
             return;
         };
         let (now, delay) = (self.now, secs(end.delay));
-        // A failure stands for a long delay: as long as it took, and the aim at least.
-        let long = delay.max(self.mean_aim);
-        let direct = self.far.get(&exchange).is_some_and(|f| f.number == to);
-        let (mut again, mut release, mut excused) = (true, false, false);
+        // A failure counts as a long delay: the time that it took, and at least the mean target delay.
+        let penalty = delay.max(self.mean_target);
+        let direct = self.peers.get(&exchange).is_some_and(|p| p.number == destination);
+        let (mut retry, mut await_release, mut retry_same) = (true, false, false);
         match end.outcome {
-            Outcome::Ended => self.sample_answer(exchange, sent, delay),
+            Outcome::Ended => self.record_answer_delay(exchange, sent_at, delay),
             Outcome::NoCircuit => {
-                if let Some(far) = self.far.get_mut(&exchange) {
-                    far.free = Some(0);
+                if let Some(peer) = self.peers.get_mut(&exchange) {
+                    peer.free = Some(0);
                 }
             }
             Outcome::TandemRefused | Outcome::FarProcessorFull => {
-                // Speaks of the pair, not of the tandem's processor, which did answer.
-                let tandem = self.far.get(&exchange).map_or(to, |f| f.number);
-                let p = self.pairs.entry(pair(tandem, to)).or_default();
-                let rest = TURNED_BACK_REST * f64::from(1 << p.times.min(16));
-                p.rest_until = now + Duration::from_secs_f64(rest.min(hold * TURNED_BACK_MOST));
-                p.times += 1;
-                self.sample_answer(exchange, sent, delay);
+                // Concerns the second leg, not the tandem's processor, which did answer.
+                let tandem = self.peers.get(&exchange).map_or(destination, |p| p.number);
+                let group = self.remote_groups.entry(group_key(tandem, destination)).or_default();
+                let backoff = INITIAL_TANDEM_BACKOFF_SECS * f64::from(1 << group.refusals.min(16));
+                group.backoff_until =
+                    now + Duration::from_secs_f64(backoff.min(mean_hold * MAX_TANDEM_BACKOFF_HOLDS));
+                group.refusals += 1;
+                self.record_answer_delay(exchange, sent_at, delay);
             }
             Outcome::NumberBusy => {
-                let first = hold * BUSY_GAP_OF_HOLD;
-                let (gap, next) = self.busy.entry(dialled).or_insert((first, now));
-                *gap = (*gap * 2.0).clamp(first, hold * BUSY_GAP_MOST);
-                *next = now + Duration::from_secs_f64(*gap);
-                self.busy.retain(|_, (_, next)| now < *next + Duration::from_secs_f64(hold));
-                self.sample_answer(exchange, sent, delay);
-                again = false;
+                let initial = mean_hold * INITIAL_BUSY_INTERVAL_HOLDS;
+                let (interval, next) = self.busy_numbers.entry(dialled).or_insert((initial, now));
+                *interval = (*interval * 2.0).clamp(initial, mean_hold * MAX_BUSY_INTERVAL_HOLDS);
+                *next = now + Duration::from_secs_f64(*interval);
+                self.busy_numbers
+                    .retain(|_, (_, next)| now < *next + Duration::from_secs_f64(mean_hold));
+                self.record_answer_delay(exchange, sent_at, delay);
+                retry = false;
             }
-            Outcome::Cancelled => release = true,
+            Outcome::Cancelled => await_release = true,
             Outcome::NotSent => {}
-            Outcome::OwnProcessorDown => again = false,
+            Outcome::OwnProcessorDown => retry = false,
             Outcome::Fault | Outcome::Disconnected => {
-                self.failure(exchange, sent, (delay, long), end.outcome == Outcome::Fault);
-                release = end.outcome == Outcome::Disconnected;
-                excused = self.calls[&call].excused < MOST_EXCUSED;
-                again = excused || !direct;
+                self.record_failure(exchange, sent_at, (delay, penalty), end.outcome == Outcome::Fault);
+                await_release = end.outcome == Outcome::Disconnected;
+                retry_same = self.calls[&call].same_processor_retries < MAX_SAME_PROCESSOR_RETRIES;
+                retry = retry_same || !direct;
             }
-            // Full, a time-out, a cut, no connection: each stands for a long delay. A processor that fails at
-            // once would else be the tandem of lowest delay and draw calls.
+            // Full, timed out, reset or unreachable: each counts as the penalty delay. Otherwise a processor
+            // that fails at once would be the tandem of lowest delay and attract calls.
             _ => {
-                let (mut told, mut rest) = (0.0, now.saturating_add(end.delay));
+                let (mut advised_wait, mut probe_from) = (0.0, now.saturating_add(end.delay));
                 if let Outcome::ProcessorFull(wait) = end.outcome {
-                    (told, rest) = (wait.map_or(0.0, secs), now);
+                    (advised_wait, probe_from) = (wait.map_or(0.0, secs), now);
                 } else if end.outcome == Outcome::TimedOut {
-                    self.outcome(exchange, delay, false);
+                    self.record_outcome(exchange, delay, false);
                 }
-                if let Some(far) = self.far.get_mut(&exchange) {
-                    far.est.sample(sent, long.max(told) - self.own.delay);
-                    far.est.rest_until = far.est.rest_until.max(rest);
+                if let Some(peer) = self.peers.get_mut(&exchange) {
+                    peer.estimate.add_sample(sent_at, penalty.max(advised_wait) - self.local.delay);
+                    peer.estimate.probe_from = peer.estimate.probe_from.max(probe_from);
                 }
-                release = matches!(end.outcome, Outcome::TimedOut | Outcome::Reset);
-                again = !direct;
+                await_release = matches!(end.outcome, Outcome::TimedOut | Outcome::Reset);
+                retry = !direct;
             }
         }
-        let Some(held) = self.calls.get_mut(&call) else {
+        let Some(record) = self.calls.get_mut(&call) else {
             return;
         };
-        if call_ended || held.over {
+        if call_ended || record.abandoned {
             self.calls.remove(&call);
             return;
         }
-        if !end.outcome.proves_not_run() && held.may_have_run.is_none() {
-            held.may_have_run = Some((exchange, sent));
+        if !end.outcome.proves_not_run() && record.may_have_run.is_none() {
+            record.may_have_run = Some((exchange, sent_at));
         }
-        if excused {
-            held.excused += 1;
+        if retry_same {
+            record.same_processor_retries += 1;
         } else {
-            held.tried.push(exchange);
+            record.tried.push(exchange);
         }
-        held.state = CallState::Waiting(now);
-        let wait = self.settings.rules.release_delay * u32::from(release);
-        let until = if release {
-            held.first_try + self.settings.classes[held.new.class].target_delay
+        record.state = CallState::Waiting(now);
+        let wait = self.settings.rules.release_delay * u32::from(await_release);
+        let until = if await_release {
+            record.first_try_at + self.settings.classes[record.info.class].target_delay
         } else {
-            held.deadline
+            record.deadline
         };
-        let in_time = now + wait + self.settings.tick_interval * 4 < until.min(held.deadline);
-        if !again || !in_time || held.new.origin == Origin::Transit {
-            self.answer(call, actions);
-        } else if release {
-            held.state = CallState::Waiting(now + wait);
-            self.timer(wait, Wake::Call(call), actions);
+        let in_time = now + wait + self.settings.tick_interval * 4 < until.min(record.deadline);
+        if !retry || !in_time || record.info.origin == Origin::Transit {
+            self.refuse_or_fail(call, actions);
+        } else if await_release {
+            record.state = CallState::Waiting(now + wait);
+            self.set_timer(wait, Timer::Route(call), actions);
         } else {
-            self.proceed(call, actions);
+            self.route_call(call, actions);
         }
     }
 
-    /// A call's wait is over.
-    fn wake(&mut self, call: CallId, actions: &mut Vec<Action>) {
-        let Some(held) = self.calls.get(&call) else {
+    /// Routes a call whose timer is due, unless its wait was extended; then the timer is set again.
+    fn wait_timer_due(&mut self, call: CallId, actions: &mut Vec<Action>) {
+        let Some(record) = self.calls.get(&call) else {
             return;
         };
-        match held.state {
-            CallState::Waiting(until) if until <= self.now => self.proceed(call, actions),
-            CallState::Waiting(until) => self.timer(until - self.now, Wake::Call(call), actions),
+        match record.state {
+            CallState::Waiting(until) if until <= self.now => self.route_call(call, actions),
+            CallState::Waiting(until) => self.set_timer(until - self.now, Timer::Route(call), actions),
             _ => {}
         }
     }
 
-    /// The caller left. Those who leave well before their time show how soon an answer is wanted: bounds
-    /// and holding shrink with it. Guards against calls that would stand in time with nobody there; could
-    /// harm, by refusing early, where only a few callers hurry.
-    fn caller_gone(&mut self, call: CallId) {
-        let Some(mut held) = self.calls.remove(&call) else {
+    /// Handles a caller who has left. Callers who leave well before their patience ends show how soon an
+    /// answer is needed: bounds and waits shrink with it. Guards against calls answered in time, but after
+    /// their caller has left. This could harm, by early refusals, where only a few callers are in a hurry.
+    fn caller_abandoned(&mut self, call: CallId) {
+        let Some(mut record) = self.calls.remove(&call) else {
             return;
         };
-        if self.now + self.settings.tick_interval * 4 < held.deadline
-            && held.new.origin != Origin::Transit
+        if self.now + self.settings.tick_interval * 4 < record.deadline
+            && record.info.origin != Origin::Transit
         {
-            let came = held.deadline.saturating_sub(held.new.patience);
-            let aim = self.settings.classes[held.new.class].target_delay;
-            let stayed = (secs(self.now.saturating_sub(came)) / secs(aim)).min(1.0);
-            self.hurry += (stayed - self.hurry) * HURRY_WEIGHT;
+            let arrived_at = record.deadline.saturating_sub(record.info.patience);
+            let target = self.settings.classes[record.info.class].target_delay;
+            let stayed = (secs(self.now.saturating_sub(arrived_at)) / secs(target)).min(1.0);
+            self.stay_ratio += (stayed - self.stay_ratio) * ABANDON_WEIGHT;
         }
-        self.note_first_try(&held);
-        if !matches!(held.state, CallState::Waiting(_)) {
-            held.over = true;
-            self.calls.insert(call, held);
+        self.remember_first_try(&record);
+        if !matches!(record.state, CallState::Waiting(_)) {
+            record.abandoned = true;
+            self.calls.insert(call, record);
         }
     }
 
-    fn timer(&mut self, after: Duration, wake: Wake, actions: &mut Vec<Action>) {
+    fn set_timer(&mut self, after: Duration, purpose: Timer, actions: &mut Vec<Action>) {
         let timer = TimerId(self.next_timer);
         self.next_timer += 1;
-        self.timers.insert(timer, wake);
+        self.timers.insert(timer, purpose);
         actions.push(Action::SetTimer { timer, after });
     }
 
-    // ---- Guards ---------------------------------------------------------------------------------
+    // ---- Rule checks ----------------------------------------------------------------------------
 
-    /// The rules that bind every set-up, besides drains: not to the own exchange, the cold budget, and
-    /// repeats of calls that may have run.
-    fn may_send(&self, held: &Held, exchange: ExchangeId) -> bool {
-        let Some(far) = self.far.get(&exchange) else {
+    /// Checks the rules for every set-up other than draining: none to the local exchange or to a pool that
+    /// does not serve the class, the cold budget, and repeats of set-ups that may have run.
+    fn may_send(&self, record: &CallRecord, exchange: ExchangeId) -> bool {
+        let Some(peer) = self.peers.get(&exchange) else {
             return false;
         };
-        let class = &self.settings.classes[held.new.class];
-        let here = match self.settings.topology {
-            Topology::Mesh { local } => far.number == local,
-            Topology::Pools => !class.pools.is_empty() && !class.pools.contains(&far.number),
+        let class = &self.settings.classes[record.info.class];
+        let excluded = match self.settings.topology {
+            Topology::Mesh { local } => peer.number == local,
+            Topology::Pools => !class.pools.is_empty() && !class.pools.contains(&peer.number),
         };
-        if here || !self.warm_enough(exchange, far.number == held.new.destination) {
+        if excluded || !self.cold_budget_allows(exchange, peer.number == record.info.destination) {
             return false;
         }
-        let Some((first, sent)) = held.may_have_run else {
+        let Some((first, sent_at)) = record.may_have_run else {
             return true;
         };
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Deduplicated { scope, window } => {
-                self.now < sent + window
-                    && match (scope, self.far.get(&first)) {
+                self.now < sent_at + window
+                    && match (scope, self.peers.get(&first)) {
                         (DedupScope::All, _) => true,
-                        (DedupScope::Zone, Some(f)) => f.zone == far.zone,
-                        (DedupScope::Number, Some(f)) => f.number == far.number,
+                        (DedupScope::Zone, Some(p)) => p.zone == peer.zone,
+                        (DedupScope::Number, Some(p)) => p.number == peer.number,
                         (_, None) => false,
                     }
             }
         }
     }
 
-    /// Cold budget. All controllers together may send a processor that started lately no more than a
-    /// multiple of what it can do in any window. Each sends its part, a gap apart; one not used is kept. The
-    /// first waits for its turn, as all hear of the start at once and hold calls. Calls offered grow with
-    /// redials, so it goes by those carried. Could harm where one pair has far more traffic than others.
-    /// Where a part is under one a window, calls for others wait a gap more: an unheard tandem is lowest in
-    /// delay.
-    fn warm_enough(&self, exchange: ExchangeId, own: bool) -> bool {
-        self.far.get(&exchange).is_some_and(|far| {
-            let (due, gap) = self.cold_due(far);
-            let more = gap * u32::from(!own && gap > self.settings.rules.overload_window);
-            let warm_at = far.started_at.saturating_add(self.settings.rules.warm_up_time);
-            far.started_at.is_zero() || self.now >= warm_at.min(due + more)
+    /// Cold budget: in any window, all controllers together may send a recently started processor at most a
+    /// multiple of its capacity. Each controller sends its part at a fixed interval and may keep one unused
+    /// set-up. The first waits for the controller's turn, as all learn of the start at once and have calls
+    /// waiting. The capacity is estimated from answered calls, as offered calls grow with redials; this could
+    /// harm where one pair of exchanges has far more traffic than others. Where the part is under one set-up
+    /// a window, calls to other destinations wait an interval longer: a tandem without samples counts as the
+    /// one of lowest delay.
+    fn cold_budget_allows(&self, exchange: ExchangeId, is_destination: bool) -> bool {
+        self.peers.get(&exchange).is_some_and(|peer| {
+            let (due, interval) = self.cold_set_up_due(peer);
+            let extra =
+                interval * u32::from(!is_destination && interval > self.settings.rules.overload_window);
+            let warm_at = peer.started_at.saturating_add(self.settings.rules.warm_up_time);
+            peer.started_at.is_zero() || self.now >= warm_at.min(due + extra)
         })
     }
 
-    /// When the next set-up to a processor is due under the cold budget, and the gap.
-    fn cold_due(&self, far: &Far) -> (Duration, Duration) {
-        let (rules, siblings) = (&self.settings.rules, f64::from(self.settings.controller_count));
-        let can = self.most_ever.max(1.0) * OWN_AND_THEIRS * rules.cold_capacity_ratio;
-        let gap = (siblings / (rules.overload_multiple * can)).min(secs(rules.warm_up_time));
-        let turn =
-            f64::from(far.number.0.wrapping_add(self.settings.controller_index)) % siblings / siblings;
-        let gap = Duration::from_secs_f64(gap);
-        (far.due.map_or(far.told + gap.mul_f64(turn), |t| t + gap), gap)
+    /// When the next set-up to a processor is due under the cold budget, and the interval between set-ups.
+    fn cold_set_up_due(&self, peer: &Peer) -> (Duration, Duration) {
+        let (rules, controllers) = (&self.settings.rules, f64::from(self.settings.controller_count));
+        let capacity = self.max_answer_rate.max(1.0) * CAPACITY_PEAK_RATIO * rules.cold_capacity_ratio;
+        let interval =
+            (controllers / (rules.overload_multiple * capacity)).min(secs(rules.warm_up_time));
+        let turn = f64::from(peer.number.0.wrapping_add(self.settings.controller_index)) % controllers
+            / controllers;
+        let interval = Duration::from_secs_f64(interval);
+        (peer.last_due.map_or(peer.learned_at + interval.mul_f64(turn), |t| t + interval), interval)
     }
 
     fn subscribe(&mut self, actions: &mut Vec<Action>) {
@@ -927,44 +959,46 @@
         }
     }
 
-    fn take_list(&mut self, list: ListUpdate, actions: &mut Vec<Action>) {
-        let whole = matches!(list, ListUpdate::Full(_));
+    fn update_list(&mut self, list: ListUpdate, actions: &mut Vec<Action>) {
+        let full = matches!(list, ListUpdate::Full(_));
         let entries = match list {
             ListUpdate::Failed => {
-                self.list_fails += 1;
+                self.list_failures += 1;
                 let spread = 1.0 + (self.seed % 1000) as f64 / 1000.0;
-                let wait = LIST_RETRY.mul_f64(spread * f64::from(self.list_fails.min(4)));
-                self.timer(wait, Wake::List, actions);
+                let wait = LIST_RETRY_DELAY.mul_f64(spread * f64::from(self.list_failures.min(4)));
+                self.set_timer(wait, Timer::Subscribe, actions);
                 return;
             }
             ListUpdate::Delta(entries) => entries,
             ListUpdate::Full(entries) => {
-                self.far.values_mut().for_each(|f| f.phase = Phase::Gone);
+                self.peers.values_mut().for_each(|p| p.phase = Phase::Gone);
                 entries
             }
         };
-        self.list_fails = 0;
-        for e in entries {
-            let old = self.far.remove(&e.exchange);
-            // A replacement takes over the trunk group: nobody tells again that it is full or missing.
-            let same = old.as_ref().or_else(|| self.far.values().find(|f| f.number == e.number));
-            let (free, size) = same.map_or((None, 0), |f| (f.free, f.size));
-            let start = old.as_ref().filter(|f| f.started_at == e.started_at);
-            let (told, due) = start.map_or((self.now, None), |f| (f.told, f.due));
-            let est = old
-                .filter(|f| f.phase != Phase::Gone || whole)
-                .map_or_else(Estimate::default, |f| f.est);
-            self.far.retain(|_, f| f.number != e.number || f.phase != Phase::Gone || whole);
-            let (number, zone, phase, started_at) = (e.number, e.zone, e.phase, e.started_at);
-            self.far
-                .insert(e.exchange, Far { number, zone, phase, started_at, told, due, free, size, est });
-        }
-        self.serving.clear();
-        let mut started: BTreeMap<ExchangeNumber, Duration> = BTreeMap::new();
-        for (id, f) in self.far.iter().filter(|(_, f)| f.phase == Phase::InService) {
-            if started.get(&f.number).is_none_or(|t| f.started_at >= *t) {
-                started.insert(f.number, f.started_at);
-                self.serving.insert(f.number, *id);
+        self.list_failures = 0;
+        for new in entries {
+            let old = self.peers.remove(&new.exchange);
+            // A replacement keeps the trunk group's state: a full or missing group is not reported again.
+            let known = old.as_ref().or_else(|| self.peers.values().find(|p| p.number == new.number));
+            let (free, size) = known.map_or((None, 0), |p| (p.free, p.size));
+            let start = old.as_ref().filter(|p| p.started_at == new.started_at);
+            let (learned_at, last_due) = start.map_or((self.now, None), |p| (p.learned_at, p.last_due));
+            let estimate = old
+                .filter(|p| p.phase != Phase::Gone || full)
+                .map_or_else(DelayEstimate::default, |p| p.estimate);
+            self.peers.retain(|_, p| p.number != new.number || p.phase != Phase::Gone || full);
+            let (number, zone, phase, started_at) = (new.number, new.zone, new.phase, new.started_at);
+            self.peers.insert(
+                new.exchange,
+                Peer { number, zone, phase, started_at, learned_at, last_due, free, size, estimate },
+            );
+        }
+        self.in_service.clear();
+        let mut latest_start: BTreeMap<ExchangeNumber, Duration> = BTreeMap::new();
+        for (id, p) in self.peers.iter().filter(|(_, p)| p.phase == Phase::InService) {
+            if latest_start.get(&p.number).is_none_or(|t| p.started_at >= *t) {
+                latest_start.insert(p.number, p.started_at);
+                self.in_service.insert(p.number, *id);
             }
         }
     }
