--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,48 +1,48 @@
-//! The words between the controller and whoever embeds it: settings, events, actions.
+//! Types shared by the controller and the host that embeds it: settings, events, actions.
 //!
-//! Nothing here decides anything; every decision is in [`crate::control`].
+//! This module takes no decisions; all of them are in [`crate::control`].
 
 use std::fmt;
 use std::time::Duration;
 
-/// A call, as the host names it; never used twice.
+/// The id of a call, assigned by the host; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One processor of an exchange or pool: it outlives a restart, but its replacement has another id.
+/// The id of one processor of an exchange or pool. It survives a restart; a replacement has another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u32);
 
-/// The number of an exchange or pool, which a replacement takes over.
+/// The number of an exchange or pool. A replacement of its processor keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeNumber(pub u32);
 
-/// The number that the caller dialled.
+/// The number dialled by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialledNumber(pub u64);
 
-/// A timer that the controller asked for.
+/// The id of a timer requested by the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
 /// Whether the set-up of a call may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// Repeated set-ups do no harm.
     Idempotent,
-    /// The exchanges within the [`DedupScope`] recognise repeated set-ups of one call for a limited time.
+    /// The exchanges in a [`DedupScope`] recognise repeated set-ups of one call for a limited time.
     Deduplicated {
         /// The exchanges that recognise the repeats.
         scope: DedupScope,
         /// How long after the first set-up that may have run repeats are recognised.
         window: Duration,
     },
-    /// A set-up that may have run must not be repeated, nor the call be refused.
+    /// After a set-up that may have run, the call must neither be set up again nor be refused.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a call may be refused although a set-up may have run.
+    /// Whether a call may be refused after a set-up that may have run.
     pub fn allows_refusal(self) -> bool {
         let scope = DedupScope::All;
         self == Idempotency::Idempotent
@@ -53,11 +53,11 @@
 /// The set of exchanges among which repeated set-ups are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All exchanges.
     All,
-    /// Those of the first exchange's zone.
+    /// The exchanges in the zone of the first exchange that was sent the set-up.
     Zone,
-    /// Those of the first exchange's number.
+    /// The processors with the number of the first exchange that was sent the set-up.
     Number,
 }
 
@@ -66,17 +66,17 @@
 pub struct Class {
     /// A call that is answered within this time earns its full worth.
     pub target_delay: Duration,
-    /// How long a caller keeps trying, over all tries.
+    /// Time over which a caller keeps trying, redials included.
     pub deadline: Duration,
-    /// What a call that stands in time is worth.
+    /// Worth of a call that is answered within its target delay.
     pub worth: f64,
-    /// Share of the worth for a call that stands after its aim.
+    /// Share of the worth that a call earns if it is answered after its target delay.
     pub late_worth: f64,
     /// Mean duration of an answered call.
     pub mean_hold: Duration,
     /// Whether set-ups may be repeated.
     pub idempotency: Idempotency,
-    /// With pools: those that serve the class; empty for all.
+    /// With pools: the pools that serve the class; empty if all do.
     pub pools: Vec<ExchangeNumber>,
 }
 
@@ -88,52 +88,52 @@
         /// The local exchange.
         local: ExchangeNumber,
     },
-    /// Pools of agents that all controllers share; no transit.
+    /// Pools of agents shared by all controllers; there are no tandem routes.
     Pools,
 }
 
-/// How the list of exchanges comes.
+/// How the controller gets changes of the list of exchanges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes arrive without a subscription.
     Pushed,
-    /// Changes come only once asked for.
+    /// Changes arrive only after a subscription ([`Action::Subscribe`]).
     OnRequest,
 }
 
-/// The figures of the five rules.
+/// Parameters of the five rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// New set-ups to a draining exchange end within this time of the notice.
+    /// Time after the notice of a drain within which new set-ups to the exchange must end.
     pub drain_grace: Duration,
-    /// A cold exchange becomes overloaded when sent more than this multiple of its current capacity.
+    /// A cold exchange becomes overloaded if it is sent more than this multiple of its current capacity.
     pub overload_multiple: f64,
     /// The window over which those set-ups are counted.
     pub overload_window: Duration,
-    /// Lowest share of its full capacity with which an exchange starts, above 0 and at most 1.
+    /// Lowest share of its full capacity that an exchange starts with; above 0 and at most 1.
     pub cold_capacity_ratio: f64,
-    /// An exchange has its full capacity at the latest this long after its start.
+    /// Time after its start by which an exchange has its full capacity.
     pub warm_up_time: Duration,
     /// Delay before a call is set up again after a time-out, reset or cancel.
     pub release_delay: Duration,
 }
 
-/// All that the controller is told at its start.
+/// Settings of the controller, fixed at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Mesh or pools.
+    /// How the exchanges are connected.
     pub topology: Topology,
-    /// Classes, in the order in which calls name them.
+    /// Classes; calls refer to them by index.
     pub classes: Vec<Class>,
-    /// Set-ups a second, of all controllers, within each tenant's share; may be empty.
+    /// Quota of each tenant, in set-ups a second over all controllers; may be empty.
     pub tenant_quota: Vec<f64>,
-    /// Worth of a call beyond its tenant's share, as a fraction of its class's worth.
+    /// Worth of a call beyond its tenant's quota, as a share of the worth of its class.
     pub over_share_worth: f64,
-    /// The figures of the five rules.
+    /// Parameters of the five rules.
     pub rules: Rules,
-    /// How many controllers there are, this one included.
+    /// Number of controllers, including this one.
     pub controller_count: u32,
-    /// Which of them this one is, counted from 0.
+    /// Index of this controller among them, from 0.
     pub controller_index: u32,
     /// Maximum number of set-ups for one call.
     pub max_attempts: u32,
@@ -141,55 +141,55 @@
     pub tick_interval: Duration,
     /// Interval at which the network retransmits an unanswered set-up; zero: never.
     pub resend_interval: Duration,
-    /// How the list comes.
+    /// How changes of the list arrive.
     pub discovery: Discovery,
-    /// Longest retry-after that callers honour; zero where none is passed on.
+    /// Longest retry-after that callers honour; zero if none is passed on to them.
     pub max_retry_after: Duration,
 }
 
 impl Settings {
-    /// Whether the settings make sense; names the first that does not.
+    /// Checks the settings; the error names the first invalid one.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let wrong = |setting, expected| Err(SettingsError { setting, expected });
+        let invalid = |setting, expected| Err(SettingsError { setting, expected });
         if self.classes.is_empty() {
-            return wrong("classes", "at least one class");
+            return invalid("classes", "at least one class");
         }
-        for c in &self.classes {
-            if c.target_delay.is_zero() || c.deadline < c.target_delay {
-                return wrong("classes.aim", "above zero and within the deadline");
+        for class in &self.classes {
+            if class.target_delay.is_zero() || class.deadline < class.target_delay {
+                return invalid("classes.aim", "above zero and within the deadline");
             }
-            let worth = c.worth.is_finite() && c.worth >= 0.0;
-            if !worth || !(0.0..=1.0).contains(&c.late_worth) {
-                return wrong("classes.worth", "zero or more, and late worth from 0 to 1");
+            let worth_valid = class.worth.is_finite() && class.worth >= 0.0;
+            if !worth_valid || !(0.0..=1.0).contains(&class.late_worth) {
+                return invalid("classes.worth", "zero or more, and late worth from 0 to 1");
             }
         }
-        let r = &self.rules;
-        if !(r.overload_multiple.is_finite() && r.overload_multiple > 0.0) {
-            return wrong("rules.fall_multiple", "above zero");
+        let rules = &self.rules;
+        if !(rules.overload_multiple.is_finite() && rules.overload_multiple > 0.0) {
+            return invalid("rules.fall_multiple", "above zero");
         }
-        if !(r.cold_capacity_ratio > 0.0 && r.cold_capacity_ratio <= 1.0) {
-            return wrong("rules.cold_from", "above 0, at most 1");
+        if !(rules.cold_capacity_ratio > 0.0 && rules.cold_capacity_ratio <= 1.0) {
+            return invalid("rules.cold_from", "above 0, at most 1");
         }
         if self.controller_count == 0 {
-            return wrong("siblings", "at least one controller");
+            return invalid("siblings", "at least one controller");
         }
         if self.max_attempts == 0 {
-            return wrong("attempts", "at least one attempt");
+            return invalid("attempts", "at least one attempt");
         }
-        let quota = |q: &f64| q.is_finite() && *q >= 0.0;
-        if !self.tenant_quota.iter().all(quota) || !quota(&self.over_share_worth) {
-            return wrong("tenant_quota", "rates and worth of zero or more");
+        let is_valid = |q: &f64| q.is_finite() && *q >= 0.0;
+        if !self.tenant_quota.iter().all(is_valid) || !is_valid(&self.over_share_worth) {
+            return invalid("tenant_quota", "rates and worth of zero or more");
         }
         Ok(())
     }
 }
 
-/// Settings that make no sense.
+/// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting at fault.
+    /// The name of the setting.
     pub setting: &'static str,
-    /// The values that it accepts.
+    /// The accepted values.
     pub expected: &'static str,
 }
 
@@ -201,14 +201,14 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What a processor is doing, as the list has it.
+/// The state of a processor, according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes set-ups.
+    /// It accepts set-ups.
     InService,
-    /// It ends what it has.
+    /// It completes its calls and accepts no new set-ups.
     Draining,
-    /// It is withdrawn.
+    /// It has left the network.
     Gone,
 }
 
@@ -221,13 +221,13 @@
     pub number: ExchangeNumber,
     /// Its zone.
     pub zone: u32,
-    /// What it is doing.
+    /// Its state.
     pub phase: Phase,
-    /// When it last started, by the host's clock; zero: long ago.
+    /// When it last started, by the host's clock; zero if that was long ago.
     pub started_at: Duration,
 }
 
-/// One entry of the list as a host receives it, with the name of the exchange.
+/// One entry of the list as a host receives it, with the name of the processor in place of its id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedEntry {
     /// The name of the processor.
@@ -236,14 +236,14 @@
     pub number: ExchangeNumber,
     /// Its zone.
     pub zone: u32,
-    /// What it is doing.
+    /// Its state.
     pub phase: Phase,
-    /// When it last started, by the host's clock; zero: long ago.
+    /// When it last started, by the host's clock; zero if that was long ago.
     pub started_at: Duration,
 }
 
 impl NamedEntry {
-    /// Converts the entry for the controller, which identifies exchanges by the host's ids.
+    /// Converts the entry for the controller, which knows the processor by the id that the host assigns.
     pub fn entry(&self, exchange: ExchangeId) -> ListEntry {
         ListEntry {
             exchange,
@@ -258,20 +258,20 @@
 /// An update of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListUpdate {
-    /// Changed entries only.
+    /// The changed entries only.
     Delta(Vec<ListEntry>),
     /// All entries; an exchange that is missing is gone.
     Full(Vec<ListEntry>),
-    /// The list could not be had, or the subscription broke; the old list stays.
+    /// The list could not be fetched, or the subscription broke; the old list stays valid.
     Failed,
 }
 
-/// Where a call comes from.
+/// The source of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A subscriber of this exchange.
     Subscriber,
-    /// A subscriber who dialled before.
+    /// A subscriber who redials.
     Redial,
     /// A subscriber whose answered call was dropped.
     DroppedCall,
@@ -279,60 +279,60 @@
     Transit,
 }
 
-/// A call handed to this controller.
+/// A new call for the controller to decide.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
     /// Its id.
     pub call: CallId,
-    /// Its class, by position in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its tenant, by position in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: usize,
     /// The number dialled.
     pub dialled: DialledNumber,
-    /// Time until the caller gives up.
+    /// Time until the caller abandons the call.
     pub patience: Duration,
-    /// Where it goes; with pools the first choice.
+    /// Its destination; with pools, the first choice.
     pub destination: ExchangeNumber,
-    /// Circuits it takes on each trunk group.
+    /// Number of circuits that it takes on each trunk group.
     pub circuits: u32,
     /// The tandem or pool with the most free circuits, as reported by a central service some time ago.
     pub route_hint: Option<ExchangeNumber>,
-    /// Where it comes from.
+    /// Its source.
     pub origin: Origin,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and has ended.
+    /// The call was answered and has ended.
     Ended,
     /// No circuit (or agent) was free.
     NoCircuit,
-    /// The tandem refused it.
+    /// The tandem refused the call.
     TandemRefused,
-    /// The tandem refused it because the destination's processor was full.
+    /// The tandem refused the call because the destination's processor was full.
     FarProcessorFull,
-    /// The processor was full; with the wait that it told, where it tells one.
+    /// The processor was full; with the retry-after from its answer, if there was one.
     ProcessorFull(Option<Duration>),
     /// All lines of the dialled number are busy.
     NumberBusy,
     /// A signalling fault.
     Fault,
-    /// No answer in time.
+    /// No answer before the timeout.
     TimedOut,
-    /// No connection to the processor.
+    /// No connection to the processor could be made.
     Unreachable,
-    /// The set-up or the standing call was cut.
+    /// The set-up was reset, or the established call was dropped.
     Reset,
-    /// The connection that the set-up was on ended, what came on it was spoilt, or the answer was lost on its
-    /// way; it may have run.
+    /// The connection of the set-up ended, data on it was corrupted, or the answer was lost; the set-up may
+    /// have run.
     Disconnected,
-    /// Called off.
+    /// The set-up was cancelled.
     Cancelled,
-    /// Not sent at all.
+    /// The set-up was not sent.
     NotSent,
-    /// Not sent as the own processor is down.
+    /// The set-up was not sent because the local processor is down.
     OwnProcessorDown,
 }
 
@@ -351,20 +351,20 @@
 pub struct AttemptEnd {
     /// The call.
     pub call: CallId,
-    /// Which of its attempts, from 0.
+    /// Index of the attempt within the call, from 0.
     pub attempt: u32,
-    /// From the set-up to this end.
+    /// Time from the set-up to this end.
     pub delay: Duration,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
     /// Whether the call itself has ended; otherwise its final answer is still outstanding.
     pub call_ended: bool,
 }
 
-/// What the controller is told.
+/// An input to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The controller runs from now on; once, before all else.
+    /// The controller starts; sent once, before all other events.
     Started,
     /// An update of the list.
     List(ListUpdate),
@@ -374,56 +374,56 @@
     Answered {
         /// The call.
         call: CallId,
-        /// Which of its attempts, from 0.
+        /// Index of the attempt within the call, from 0.
         attempt: u32,
-        /// From the set-up to the answer.
+        /// Time from the set-up to the answer.
         delay: Duration,
     },
     /// An attempt has ended; exactly one event for each set-up.
     AttemptEnded(AttemptEnd),
     /// The caller abandoned the call; no final answer is expected any more.
     CallerAbandoned(CallId),
-    /// Circuits of the trunk group to an exchange (or agents of a pool).
+    /// State of the trunk group to an exchange (or of the agents of a pool).
     Circuits {
         /// The exchange at the other end.
         exchange: ExchangeId,
-        /// Free ones.
+        /// Number of free circuits.
         free: u32,
-        /// All of them.
+        /// Number of all circuits.
         size: u32,
     },
     /// A timer is due.
     Timer(TimerId),
 }
 
-/// What the controller wants done, in this order.
+/// A request of the controller to its host; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the call to an exchange; attempts count up from 0.
+    /// Send a set-up of the call to an exchange. The attempts of a call are numbered from 0.
     SetUp {
         /// The call.
         call: CallId,
-        /// The first exchange on the way.
+        /// The first exchange of the route.
         exchange: ExchangeId,
-        /// Give the attempt up after this time.
+        /// Cancel the attempt after this time.
         timeout: Duration,
     },
-    /// Final answer: refused.
+    /// Give the final answer: refused.
     Refuse {
         /// The call.
         call: CallId,
-        /// How long the caller should stay away.
+        /// Time after which the caller should redial.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed.
+    /// Give the final answer: failed.
     Fail(CallId),
-    /// Wake the controller.
+    /// Send [`Event::Timer`] after a time.
     SetTimer {
-        /// Its name.
+        /// The id of the timer.
         timer: TimerId,
-        /// From now.
+        /// The time, from now.
         after: Duration,
     },
-    /// Ask for the changes of the list from now on.
+    /// Subscribe to the changes of the list.
     Subscribe,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! slateshed decides, for one exchange of a telephone-like network, which route a call takes and
-//! whether it is admitted.
+//! Call controller for one exchange of a telephone-like network: it decides whether a call is
+//! admitted and which route it takes.
 //!
-//! The library does no input or output and reads no clock. The host hands in the time and what
-//! happened, and carries out the actions that come back; the same events give the same actions.
+//! The library does no input or output and reads no clock. The host passes in the time and the
+//! events, and carries out the returned actions. The same events always give the same actions.
 //!
 //! ```
 //! use slateshed::*;
