--- a/tests/controller/common.rs
+++ b/tests/controller/common.rs
@@ -1,4 +1,4 @@
-//! A controller with a hand on its clock.
+//! Common parts of the tests: settings, and a host that drives a controller with a simulated clock.
 
 use slateshed::*;
 use std::time::Duration;
@@ -49,7 +49,8 @@
     }
 }
 
-pub fn far(number: u32) -> ExchangeId {
+/// The id of the processor that [`entry`] lists at a number.
+pub fn exchange_id(number: u32) -> ExchangeId {
     ExchangeId(10 + number)
 }
 
@@ -60,35 +61,35 @@
 }
 
 impl Host {
-    /// Four exchanges in service, 30 of 30 circuits free to each.
+    /// A host with four exchanges in service and 30 free circuits of 30 to each but the local one (0).
     pub fn new(settings: Settings) -> Self {
-        let controller = Controller::new(settings, 1).expect("settings make sense");
+        let controller = Controller::new(settings, 1).expect("valid settings");
         let mut host = Host { controller, now: ms(100_000), next_call: 0 };
-        host.tell(Event::Started);
+        host.handle(Event::Started);
         let list = (0..4).map(|n| entry(n, Phase::InService, Duration::ZERO));
-        host.tell(Event::List(ListUpdate::Full(list.collect())));
+        host.handle(Event::List(ListUpdate::Full(list.collect())));
         for n in 1..4 {
-            host.circuits(n, 30);
+            host.set_free_circuits(n, 30);
         }
         host
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn circuits(&mut self, number: u32, free: u32) {
-        self.tell(Event::Circuits { exchange: far(number), free, size: 30 });
+    pub fn set_free_circuits(&mut self, number: u32, free: u32) {
+        self.handle(Event::Circuits { exchange: exchange_id(number), free, size: 30 });
     }
 
-    pub fn change(&mut self, number: u32, phase: Phase, started_at: Duration) {
+    pub fn update_entry(&mut self, number: u32, phase: Phase, started_at: Duration) {
         let entries = vec![entry(number, phase, started_at)];
-        self.tell(Event::List(ListUpdate::Delta(entries)));
+        self.handle(Event::List(ListUpdate::Delta(entries)));
     }
 
-    /// A call that has not been handed over yet.
+    /// Creates a call without passing it to the controller.
     pub fn new_call(&mut self, destination: u32) -> NewCall {
         self.next_call += 1;
         NewCall {
@@ -104,17 +105,18 @@
         }
     }
 
-    pub fn call(&mut self, destination: u32) -> (CallId, Vec<Action>) {
+    /// Creates a call to `destination` and passes it to the controller.
+    pub fn place_call(&mut self, destination: u32) -> (CallId, Vec<Action>) {
         let new = self.new_call(destination);
-        (new.call, self.tell(Event::Call(new)))
+        (new.call, self.handle(Event::Call(new)))
     }
 
-    pub fn stands(&mut self, call: CallId, attempt: u32, delay: Duration) -> Vec<Action> {
-        self.tell(Event::Answered { call, attempt, delay })
+    pub fn answer(&mut self, call: CallId, attempt: u32, delay: Duration) -> Vec<Action> {
+        self.handle(Event::Answered { call, attempt, delay })
     }
 
-    pub fn over(&mut self, call: CallId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(AttemptEnd {
+    pub fn end_attempt(&mut self, call: CallId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             call,
             attempt,
             delay: ms(100),
@@ -123,27 +125,29 @@
         }))
     }
 
-    /// Lets time pass with small events, as a busy controller sees it.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the clock, with an event without effect each 100 ms, so that the controller sees no stall.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 100 {
             self.now += ms(100);
-            self.tell(Event::CallerAbandoned(CallId(0)));
+            self.handle(Event::CallerAbandoned(CallId(0)));
         }
     }
 
-    /// Lets calls to one exchange stand one after the other, `gap` apart, each after `delay`.
+    /// Places calls to one exchange one after the other: each is answered after `delay`, and the next follows
+    /// `gap` later.
     pub fn answer_calls(&mut self, destination: u32, calls: u32, delay: Duration, gap: Duration) {
         for _ in 0..calls {
-            let (call, actions) = self.call(destination);
-            assert!(sent_to(&actions).is_some(), "a call was refused");
+            let (call, actions) = self.place_call(destination);
+            assert!(sent_to(&actions).is_some(), "the call was not sent");
             self.now += delay;
-            self.stands(call, 0, delay);
-            self.circuits(destination, 30);
+            self.answer(call, 0, delay);
+            self.set_free_circuits(destination, 30);
             self.now += gap;
         }
     }
 }
 
+/// The exchange that a set-up goes to, if the actions contain one.
 pub fn sent_to(actions: &[Action]) -> Option<ExchangeId> {
     actions.iter().find_map(|a| match a {
         Action::SetUp { exchange, .. } => Some(*exchange),
@@ -151,11 +155,12 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refused(actions: &[Action]) -> bool {
     matches!(actions, [Action::Refuse { .. }])
 }
 
-pub fn timer(actions: &[Action]) -> Option<(TimerId, Duration)> {
+/// The timer that the actions set, if any, and its delay.
+pub fn timer_request(actions: &[Action]) -> Option<(TimerId, Duration)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { timer, after } => Some((*timer, *after)),
         _ => None,
--- a/tests/controller/failures.rs
+++ b/tests/controller/failures.rs
@@ -1,4 +1,5 @@
-//! One test per failure found on the bench, without the bench. Each was seen to fail without its defence.
+//! One test for each failure found in benchmark runs, reproduced without a benchmark. Each test failed without
+//! the code that prevents the failure.
 
 use crate::common::*;
 use slateshed::*;
@@ -6,301 +7,336 @@
 
 fn two_classes() -> Settings {
     let mut s = settings();
-    let valued = Class { worth: 6.0, ..s.classes[0].clone() };
-    s.classes.push(valued);
+    let high_worth = Class { worth: 6.0, ..s.classes[0].clone() };
+    s.classes.push(high_worth);
     s
 }
 
-/// A host whose exchange 1 is shut: it has answered, and then one set-up stays without an answer.
-fn shut(settings: Settings) -> (Host, CallId) {
+/// A host whose exchange 1 is congested: it answered 50 calls, and then one set-up stays unanswered.
+fn congested_host(settings: Settings) -> (Host, CallId) {
     let mut host = Host::new(settings);
     host.answer_calls(1, 50, ms(50), ms(50));
-    let (call, actions) = host.call(1);
-    assert_eq!(sent_to(&actions), Some(far(1)));
-    host.pass(1400);
-    host.call(1);
+    let (call, actions) = host.place_call(1);
+    assert_eq!(sent_to(&actions), Some(exchange_id(1)));
+    host.advance(1400);
+    host.place_call(1);
     (host, call)
 }
 
+/// Guards against sending more calls to a processor that hangs, until its first set-up times out.
 #[test]
-fn a_set_up_long_unanswered_shuts_the_latch_before_its_time_out() {
-    let (mut host, _) = shut(settings());
-    assert_eq!(sent_to(&host.call(1).1), None, "sent on to a processor that hangs");
-    assert_eq!(sent_to(&host.call(2).1), Some(far(2)), "the others stay open");
+fn a_long_unanswered_set_up_marks_the_processor_congested_before_its_time_out() {
+    let (mut host, _) = congested_host(settings());
+    assert_eq!(sent_to(&host.place_call(1).1), None, "sent to a processor that hangs");
+    assert_eq!(
+        sent_to(&host.place_call(2).1),
+        Some(exchange_id(2)),
+        "other processors are not congested"
+    );
 }
 
+/// Guards against probes that add to the backlog of a congested processor.
 #[test]
-fn a_sample_waits_for_the_answer_to_the_one_before() {
-    let (mut host, _) = shut(settings());
-    host.pass(5000);
-    assert_eq!(sent_to(&host.call(1).1), None);
+fn no_probe_is_sent_while_a_set_up_is_unanswered() {
+    let (mut host, _) = congested_host(settings());
+    host.advance(5000);
+    assert_eq!(sent_to(&host.place_call(1).1), None);
 }
 
+/// Guards against probes that queue behind a set-up that timed out but is still queued at the processor.
 #[test]
-fn samples_rest_after_a_time_out_and_then_go_once_a_second() {
-    let (mut host, call) = shut(settings());
+fn probes_pause_after_a_time_out_and_then_go_once_a_second() {
+    let (mut host, call) = congested_host(settings());
     host.now += ms(100);
     let end =
         AttemptEnd { call, attempt: 0, delay: ms(1500), outcome: Outcome::TimedOut, call_ended: false };
-    host.tell(Event::AttemptEnded(end));
+    host.handle(Event::AttemptEnded(end));
     host.now += ms(1000);
-    assert_eq!(sent_to(&host.call(1).1), None, "the given-up set-up may still wait in line");
+    assert_eq!(sent_to(&host.place_call(1).1), None, "the set-up that timed out may still be queued");
     host.now += ms(600);
-    let (sample, actions) = host.call(1);
-    assert_eq!(sent_to(&actions), Some(far(1)), "a sample");
+    let (probe, actions) = host.place_call(1);
+    assert_eq!(sent_to(&actions), Some(exchange_id(1)), "a probe");
     host.now += ms(900);
-    host.stands(sample, 0, ms(900));
-    assert_eq!(sent_to(&host.call(1).1), None, "one a second");
+    host.answer(probe, 0, ms(900));
+    assert_eq!(sent_to(&host.place_call(1).1), None, "at most one probe a second");
     host.now += ms(100);
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)));
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)));
 }
 
+/// Guards against answers that arrive after that of a later set-up, and mark a processor as congested that has
+/// already worked off its backlog.
 #[test]
-fn a_drained_backlog_does_not_hold_the_ratio_up() {
+fn late_answers_from_a_drained_backlog_do_not_raise_the_ratio() {
     let mut host = Host::new(settings());
     host.answer_calls(1, 50, ms(50), ms(50));
-    let early: Vec<CallId> = (0..2).map(|_| host.call(1).0).collect();
+    let earlier: Vec<CallId> = (0..2).map(|_| host.place_call(1).0).collect();
     host.now += ms(400);
-    let (late, actions) = host.call(1);
+    let (later, actions) = host.place_call(1);
     assert!(sent_to(&actions).is_some());
     host.now += ms(50);
-    host.stands(late, 0, ms(50));
+    host.answer(later, 0, ms(50));
     host.now += ms(1000);
-    for call in early {
-        host.stands(call, 0, ms(1450));
+    for call in earlier {
+        host.answer(call, 0, ms(1450));
     }
-    host.call(1);
-    let (_, actions) = host.call(1);
-    assert_eq!(sent_to(&actions), Some(far(1)), "open, not just a sample");
+    host.place_call(1);
+    let (_, actions) = host.place_call(1);
+    assert_eq!(sent_to(&actions), Some(exchange_id(1)), "not congested: more than a probe is sent");
 }
 
+/// Guards against a burst that overloads the processors before any delay shows it.
 #[test]
-fn a_burst_is_held_once_the_backlog_amounts_to_the_upper_bound() {
+fn a_burst_is_limited_once_set_ups_in_flight_amount_to_the_upper_bound() {
     let mut host = Host::new(settings());
     for n in [1, 2, 3] {
         host.answer_calls(n, 15, ms(20), ms(80));
     }
-    // Ten answers a second; 0.35 of the aim at that rate is about five.
+    // Ten answers a second; in 0.35 of the target delay that makes about five.
     let sent = (0..60).filter(|i| {
-        let (_, actions) = host.call(1 + i % 3);
+        let (_, actions) = host.place_call(1 + i % 3);
         sent_to(&actions).is_some()
     });
     let sent = sent.count();
-    assert!((4..=8).contains(&sent), "{sent} of 60 sent at once");
+    assert!((4..=8).contains(&sent), "{sent} of 60 calls sent at once");
 }
 
+/// Guards against sending calls again and again to a tandem whose second leg stays full.
 #[test]
-fn a_pair_turned_back_in_a_row_rests_longer_each_time() {
+fn tandem_backoff_grows_with_consecutive_refusals() {
     let mut host = Host::new(settings());
-    host.circuits(1, 0);
-    host.circuits(3, 0);
-    let mut rests = Vec::new();
+    host.set_free_circuits(1, 0);
+    host.set_free_circuits(3, 0);
+    let mut backoffs = Vec::new();
     for _ in 0..3 {
         let start = host.now;
         let call = loop {
-            let (call, actions) = host.call(1);
-            if sent_to(&actions) == Some(far(2)) {
+            let (call, actions) = host.place_call(1);
+            if sent_to(&actions) == Some(exchange_id(2)) {
                 break call;
             }
             host.now += ms(100);
             assert!(host.now < start + ms(20_000));
         };
-        rests.push(host.now - start);
-        host.over(call, 0, Outcome::TandemRefused);
+        backoffs.push(host.now - start);
+        host.end_attempt(call, 0, Outcome::TandemRefused);
     }
-    assert!(rests[1] >= ms(1000) && rests[2] >= ms(2000), "{rests:?}");
+    assert!(backoffs[1] >= ms(1000) && backoffs[2] >= ms(2000), "backoffs: {backoffs:?}");
 }
 
+/// Guards against counting a full second leg as congestion of the tandem itself.
 #[test]
-fn a_turn_back_says_nothing_of_the_tandem_for_others() {
+fn a_refusal_by_a_tandem_does_not_affect_direct_calls_to_it() {
     let mut host = Host::new(settings());
-    host.circuits(1, 0);
-    let (call, actions) = host.call(1);
-    let tandem = sent_to(&actions).expect("over a tandem");
-    let other = if tandem == far(2) { far(3) } else { far(2) };
-    let actions = host.over(call, 0, Outcome::TandemRefused);
-    assert_eq!(sent_to(&actions), Some(other), "the other tandem next");
+    host.set_free_circuits(1, 0);
+    let (call, actions) = host.place_call(1);
+    let tandem = sent_to(&actions).expect("sent over a tandem");
+    let other = if tandem == exchange_id(2) { exchange_id(3) } else { exchange_id(2) };
+    let actions = host.end_attempt(call, 0, Outcome::TandemRefused);
+    assert_eq!(sent_to(&actions), Some(other), "the other tandem is tried next");
     let number = tandem.0 - 10;
-    assert_eq!(sent_to(&host.call(number).1), Some(tandem), "direct calls there go on");
+    assert_eq!(
+        sent_to(&host.place_call(number).1),
+        Some(tandem),
+        "direct calls to the tandem are still sent"
+    );
 }
 
+/// Guards against a call that loads one tandem after the other while its destination is full.
 #[test]
 fn at_most_two_tandems_are_tried_for_a_call() {
     let mut s = settings();
     s.max_attempts = 9;
     let mut host = Host::new(s);
     for n in 4..8 {
-        host.change(n, Phase::InService, Duration::ZERO);
-        host.circuits(n, 30);
+        host.update_entry(n, Phase::InService, Duration::ZERO);
+        host.set_free_circuits(n, 30);
     }
-    host.circuits(1, 0);
-    let (call, mut actions) = host.call(1);
+    host.set_free_circuits(1, 0);
+    let (call, mut actions) = host.place_call(1);
     let mut attempts = 0;
     while sent_to(&actions).is_some() {
-        actions = host.over(call, attempts, Outcome::TandemRefused);
+        actions = host.end_attempt(call, attempts, Outcome::TandemRefused);
         attempts += 1;
     }
     assert_eq!(attempts, 2);
 }
 
+/// Guards against tandem calls that take the circuits needed for direct calls.
 #[test]
-fn valued_calls_take_the_last_circuit_of_a_tandem_leg_and_others_do_not() {
+fn only_high_priority_calls_take_the_last_circuit_of_a_tandem_leg() {
     let mut host = Host::new(two_classes());
     host.answer_calls(1, 50, ms(50), ms(50));
-    host.circuits(1, 0);
-    host.circuits(2, 1);
-    host.circuits(3, 0);
-    assert_eq!(sent_to(&host.call(1).1), None);
+    host.set_free_circuits(1, 0);
+    host.set_free_circuits(2, 1);
+    host.set_free_circuits(3, 0);
+    assert_eq!(sent_to(&host.place_call(1).1), None);
     let mut new = host.new_call(1);
     new.class = 1;
-    assert_eq!(sent_to(&host.tell(Event::Call(new))), Some(far(2)));
+    assert_eq!(sent_to(&host.handle(Event::Call(new))), Some(exchange_id(2)));
 }
 
+/// Guards against refusing calls of high worth that a congested processor would still answer in time.
 #[test]
-fn valued_calls_pass_a_latch_shut_for_the_others_while_they_would_stand_in_time() {
+fn high_priority_calls_go_to_a_congested_processor_while_they_would_be_answered_in_time() {
     let mut host = Host::new(two_classes());
     host.answer_calls(1, 50, ms(50), ms(50));
-    host.call(1);
-    host.pass(700);
-    assert_eq!(sent_to(&host.call(1).1), None, "shut");
+    host.place_call(1);
+    host.advance(700);
+    assert_eq!(sent_to(&host.place_call(1).1), None, "congested for ordinary calls");
     let mut new = host.new_call(1);
     new.class = 1;
-    assert_eq!(sent_to(&host.tell(Event::Call(new))), Some(far(1)));
+    assert_eq!(sent_to(&host.handle(Event::Call(new))), Some(exchange_id(1)));
     host.now += ms(300);
     let mut new = host.new_call(1);
     new.class = 1;
-    assert_eq!(sent_to(&host.tell(Event::Call(new))), None, "no longer in time");
+    assert_eq!(sent_to(&host.handle(Event::Call(new))), None, "the answer would come too late");
 }
 
+/// Guards against late redials, which earn little, taking the last circuits from fresh calls.
 #[test]
-fn a_caller_back_after_the_aim_yields_the_last_circuits() {
+fn a_redial_after_the_target_delay_leaves_the_last_circuit_to_a_fresh_call() {
     let mut host = Host::new(settings());
-    host.circuits(1, 0);
-    host.circuits(2, 0);
-    host.circuits(3, 0);
+    host.set_free_circuits(1, 0);
+    host.set_free_circuits(2, 0);
+    host.set_free_circuits(3, 0);
     let new = host.new_call(1);
     let (call, dialled) = (new.call, new.dialled);
-    let (mut wake, _) = timer(&host.tell(Event::Call(new))).expect("held for a while");
+    let (mut timer, _) =
+        timer_request(&host.handle(Event::Call(new))).expect("the call waits for a route");
     let answer = loop {
         host.now += ms(50);
-        let actions = host.tell(Event::Timer(wake));
-        match timer(&actions) {
-            Some((next, _)) => wake = next,
+        let actions = host.handle(Event::Timer(timer));
+        match timer_request(&actions) {
+            Some((next, _)) => timer = next,
             None => break actions,
         }
     };
     assert!(matches!(answer[..], [Action::Refuse { call: c, .. }] if c == call));
     host.now += ms(1500);
-    host.circuits(1, 1);
+    host.set_free_circuits(1, 1);
     let mut again = host.new_call(1);
     again.dialled = dialled;
-    let actions = host.tell(Event::Call(again));
-    assert_eq!(sent_to(&actions), None, "past its aim");
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "answered at once");
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "a fresh call takes it");
+    let actions = host.handle(Event::Call(again));
+    assert_eq!(sent_to(&actions), None, "past its target delay");
+    assert!(matches!(actions[..], [Action::Refuse { .. }]), "refused at once");
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "a fresh call takes the circuit");
 }
 
+/// Guards against refusing a call although a circuit becomes free a moment later.
 #[test]
-fn a_call_without_a_way_is_held_and_goes_once_there_is_one() {
+fn a_call_without_a_route_waits_and_is_sent_once_there_is_one() {
     let mut host = Host::new(settings());
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
-    let (_, actions) = host.call(1);
-    let (wake, after) = timer(&actions).expect("held");
-    host.circuits(1, 1);
+    let (_, actions) = host.place_call(1);
+    let (timer, after) = timer_request(&actions).expect("the call waits for a route");
+    host.set_free_circuits(1, 1);
     host.now += after;
-    assert_eq!(sent_to(&host.tell(Event::Timer(wake))), Some(far(1)));
+    assert_eq!(sent_to(&host.handle(Event::Timer(timer))), Some(exchange_id(1)));
 }
 
+/// Guards against calls that wait for a route until their callers have left.
 #[test]
-fn where_callers_leave_early_calls_are_no_longer_held() {
+fn calls_do_not_wait_for_a_route_where_callers_abandon_early() {
     let mut host = Host::new(settings());
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
-    let mut held = 0;
+    let mut waiting = 0;
     for _ in 0..60 {
-        let (call, actions) = host.call(1);
+        let (call, actions) = host.place_call(1);
         host.now += ms(20);
-        if timer(&actions).is_some() {
-            held += 1;
-            host.tell(Event::CallerAbandoned(call));
+        if timer_request(&actions).is_some() {
+            waiting += 1;
+            host.handle(Event::CallerAbandoned(call));
         }
         host.now += ms(20);
     }
-    assert!((10..40).contains(&held), "{held} of 60 held for callers who leave at once");
+    assert!(
+        (10..40).contains(&waiting),
+        "{waiting} of 60 calls waited although their callers abandon at once"
+    );
 }
 
+/// Guards against callers of a busy number who redial at once and load the processors with vain set-ups.
 #[test]
-fn calls_to_a_busy_number_are_spaced_and_others_are_not() {
+fn calls_to_a_busy_number_are_spaced_but_not_calls_to_other_numbers() {
     let mut host = Host::new(settings());
-    let mut hot = host.new_call(1);
-    hot.dialled = DialledNumber(5);
-    let call = hot.call;
-    host.tell(Event::Call(hot));
-    host.over(call, 0, Outcome::NumberBusy);
+    let mut to_busy = host.new_call(1);
+    to_busy.dialled = DialledNumber(5);
+    let call = to_busy.call;
+    host.handle(Event::Call(to_busy));
+    host.end_attempt(call, 0, Outcome::NumberBusy);
     let sent = |host: &mut Host| {
-        let mut hot = host.new_call(1);
-        hot.dialled = DialledNumber(5);
-        sent_to(&host.tell(Event::Call(hot))).is_some()
+        let mut to_busy = host.new_call(1);
+        to_busy.dialled = DialledNumber(5);
+        sent_to(&host.handle(Event::Call(to_busy))).is_some()
     };
     host.now += ms(200);
     assert!(!sent(&mut host));
-    let (other, actions) = host.call(1);
+    let (other, actions) = host.place_call(1);
     assert!(sent_to(&actions).is_some());
-    host.stands(other, 0, ms(50));
+    host.answer(other, 0, ms(50));
     host.now += ms(1000);
-    assert!(sent(&mut host), "one a gap");
+    assert!(sent(&mut host), "one call for each interval");
     assert!(!sent(&mut host));
 }
 
+/// Guards against set-ups that look unanswered only because the controller itself read no answers.
 #[test]
-fn a_standstill_of_the_controller_shuts_no_latch() {
+fn a_stall_of_the_controller_marks_no_processor_congested() {
     let mut host = Host::new(settings());
     host.answer_calls(1, 50, ms(50), ms(50));
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)));
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)));
     host.now += ms(1400);
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "the wait was here");
+    assert_eq!(
+        sent_to(&host.place_call(1).1),
+        Some(exchange_id(1)),
+        "the delay arose at the controller"
+    );
 }
 
-/// A host all of whose calls of the last second stood after 1.1 s in place of 0.05 s.
-fn own_jam() -> Host {
+/// A host whose calls of the last second were all answered after 1.1 s instead of 0.05 s.
+fn host_with_local_queue() -> Host {
     let mut host = Host::new(settings());
     for n in [1, 2, 3] {
         host.answer_calls(n, 20, ms(50), ms(50));
     }
-    let calls: Vec<CallId> = (0..6).map(|i| host.call(1 + i % 3).0).collect();
-    host.pass(1100);
+    let calls: Vec<CallId> = (0..6).map(|i| host.place_call(1 + i % 3).0).collect();
+    host.advance(1100);
     for call in calls {
-        host.stands(call, 0, ms(1100));
+        host.answer(call, 0, ms(1100));
     }
     host
 }
 
+/// Guards against marking all remote processors as congested because of a queue at the local one.
 #[test]
-fn a_wait_that_all_answers_share_shuts_no_far_latch_but_the_own_one() {
-    let mut host = own_jam();
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "one set-up at a time, as a sample");
-    assert_eq!(sent_to(&host.call(2).1), None, "the own processor is jammed");
+fn a_delay_common_to_all_answers_marks_only_the_local_processor_congested() {
+    let mut host = host_with_local_queue();
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "one set-up at a time, as a probe");
+    assert_eq!(sent_to(&host.place_call(2).1), None, "the local processor is congested");
 }
 
+/// Guards against a local overload that goes unnoticed because all set-ups time out, and those of processors
+/// without any answer have no lowest delay to compare with.
 #[test]
-fn an_own_jam_is_seen_by_time_outs_of_processors_never_heard() {
+fn time_outs_of_processors_that_never_answered_reveal_local_congestion() {
     let mut s = settings();
     s.controller_count = 20;
     let mut host = Host::new(s);
     for n in 4..20 {
-        host.change(n, Phase::InService, Duration::ZERO);
-        host.circuits(n, 30);
+        host.update_entry(n, Phase::InService, Duration::ZERO);
+        host.set_free_circuits(n, 30);
     }
     host.answer_calls(1, 50, ms(50), ms(50));
-    host.pass(2000);
-    let calls: Vec<CallId> = (4..10).map(|n| host.call(n).0).collect();
-    host.pass(1500);
+    host.advance(2000);
+    let calls: Vec<CallId> = (4..10).map(|n| host.place_call(n).0).collect();
+    host.advance(1500);
     for call in calls {
         let (delay, outcome) = (ms(1500), Outcome::TimedOut);
-        host.tell(Event::AttemptEnded(AttemptEnd {
+        host.handle(Event::AttemptEnded(AttemptEnd {
             call,
             attempt: 0,
             delay,
@@ -308,361 +344,411 @@
             call_ended: true,
         }));
     }
-    assert!(sent_to(&host.call(11).1).is_some(), "the sample");
-    assert_eq!(sent_to(&host.call(12).1), None);
+    assert!(sent_to(&host.place_call(11).1).is_some(), "the probe");
+    assert_eq!(sent_to(&host.place_call(12).1), None);
 }
 
+/// Guards against taking the lowest delay of a processor that has only been observed while slow as its delay
+/// without load.
 #[test]
-fn a_processor_first_heard_while_slow_is_shut_all_the_same() {
+fn a_processor_observed_only_while_slow_is_marked_congested() {
     let mut host = Host::new(settings());
     host.answer_calls(2, 10, ms(50), ms(50));
     host.answer_calls(1, 1, ms(900), ms(0));
     host.answer_calls(2, 1, ms(50), ms(0));
-    assert_eq!(sent_to(&host.call(1).1), None, "its lowest delay is no idle one");
+    assert_eq!(sent_to(&host.place_call(1).1), None, "its lowest delay is not its delay without load");
 }
 
+/// Guards against set-ups over tandems that have no trunk group to the destination.
 #[test]
-fn the_advised_tandem_goes_first_then_one_over_which_a_call_stood() {
+fn the_hinted_tandem_goes_first_then_one_whose_last_call_was_answered() {
     let mut host = Host::new(settings());
     for n in 4..12 {
-        host.change(n, Phase::InService, Duration::ZERO);
-        host.circuits(n, 30);
+        host.update_entry(n, Phase::InService, Duration::ZERO);
+        host.set_free_circuits(n, 30);
     }
-    host.circuits(1, 0);
+    host.set_free_circuits(1, 0);
     for n in [9, 6] {
         let mut new = host.new_call(1);
         new.route_hint = Some(ExchangeNumber(n));
         let call = new.call;
-        assert_eq!(sent_to(&host.tell(Event::Call(new))), Some(far(n)));
+        assert_eq!(sent_to(&host.handle(Event::Call(new))), Some(exchange_id(n)));
         host.now += ms(50 + u64::from(n) * 10);
-        host.stands(call, 0, ms(50 + u64::from(n) * 10));
+        host.answer(call, 0, ms(50 + u64::from(n) * 10));
     }
-    assert_eq!(sent_to(&host.call(1).1), Some(far(6)), "stood, of lowest delay");
+    assert_eq!(
+        sent_to(&host.place_call(1).1),
+        Some(exchange_id(6)),
+        "the tandem with an answered call and the lowest delay"
+    );
 }
 
+/// Guards against trying a full trunk group again in the other direction.
 #[test]
-fn a_turn_back_counts_for_the_pair_in_both_directions() {
+fn a_refusal_by_a_tandem_counts_for_both_directions_of_the_trunk_group() {
     let mut host = Host::new(settings());
-    host.circuits(1, 0);
-    host.circuits(3, 0);
-    let (call, actions) = host.call(1);
-    assert_eq!(sent_to(&actions), Some(far(2)));
-    host.over(call, 0, Outcome::TandemRefused);
-    host.circuits(1, 30);
-    host.circuits(2, 0);
-    assert_eq!(sent_to(&host.call(2).1), None, "1 has no circuit to 2 either");
+    host.set_free_circuits(1, 0);
+    host.set_free_circuits(3, 0);
+    let (call, actions) = host.place_call(1);
+    assert_eq!(sent_to(&actions), Some(exchange_id(2)));
+    host.end_attempt(call, 0, Outcome::TandemRefused);
+    host.set_free_circuits(1, 30);
+    host.set_free_circuits(2, 0);
+    assert_eq!(sent_to(&host.place_call(2).1), None, "exchange 1 has no free circuit to 2 either");
 }
 
+/// Guards against set-ups to a full or missing trunk group after its processor was replaced: the state of the
+/// group is not reported again.
 #[test]
-fn a_replacement_takes_over_what_is_known_of_the_trunk_group() {
+fn a_replacement_keeps_the_state_of_the_trunk_group() {
     let mut host = Host::new(settings());
-    host.circuits(1, 0);
+    host.set_free_circuits(1, 0);
     let now = host.now;
     let replacement = ListEntry { exchange: ExchangeId(99), ..entry(1, Phase::InService, now) };
-    host.tell(Event::List(ListUpdate::Delta(vec![replacement])));
-    assert_ne!(sent_to(&host.call(1).1), Some(ExchangeId(99)), "its group is full");
-    host.change(2, Phase::Gone, Duration::ZERO);
-    host.circuits(2, 0);
+    host.handle(Event::List(ListUpdate::Delta(vec![replacement])));
+    assert_ne!(sent_to(&host.place_call(1).1), Some(ExchangeId(99)), "its trunk group is full");
+    host.update_entry(2, Phase::Gone, Duration::ZERO);
+    host.set_free_circuits(2, 0);
     let now = host.now;
-    host.change(2, Phase::InService, now);
-    assert_ne!(sent_to(&host.call(2).1), Some(far(2)), "full before it was gone");
+    host.update_entry(2, Phase::InService, now);
+    assert_ne!(
+        sent_to(&host.place_call(2).1),
+        Some(exchange_id(2)),
+        "its trunk group was full before it was gone"
+    );
 }
 
+/// Guards against late calls that use capacity needed by fresh ones.
 #[test]
-fn a_late_call_goes_out_only_well_under_the_backlog_limit() {
+fn a_late_call_is_sent_only_well_below_the_in_flight_limit() {
     let mut host = Host::new(settings());
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
     let new = host.new_call(1);
     let dialled = new.dialled;
-    let (mut wake, _) = timer(&host.tell(Event::Call(new))).expect("held for a while");
+    let (mut timer, _) =
+        timer_request(&host.handle(Event::Call(new))).expect("the call waits for a route");
     loop {
         host.now += ms(50);
-        match timer(&host.tell(Event::Timer(wake))) {
-            Some((next, _)) => wake = next,
+        match timer_request(&host.handle(Event::Timer(timer))) {
+            Some((next, _)) => timer = next,
             None => break,
         }
     }
-    host.pass(1500);
+    host.advance(1500);
     for n in 1..4 {
-        host.circuits(n, 30);
+        host.set_free_circuits(n, 30);
     }
     for n in [2, 3] {
-        assert!(sent_to(&host.call(n).1).is_some());
+        assert!(sent_to(&host.place_call(n).1).is_some());
     }
     let mut again = host.new_call(1);
     again.dialled = dialled;
-    assert_eq!(sent_to(&host.tell(Event::Call(again))), None, "two are out already");
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "a fresh call goes");
+    assert_eq!(sent_to(&host.handle(Event::Call(again))), None, "two set-ups are in flight already");
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "a fresh call is sent");
 }
 
-/// Guards against holding a call that has been given up on towards its deadline, so that its caller can't
-/// dial again: however often callers come back, late ones are answered at once.
+/// Guards against late calls that wait for a route until their deadline, so that their callers cannot redial.
 #[test]
-fn a_call_past_its_time_is_answered_at_once_however_often_its_caller_comes_back() {
-    let held_for = |host: &mut Host, dialled: Option<DialledNumber>| {
+fn a_late_call_is_refused_at_once_on_every_redial() {
+    let wait_of_call = |host: &mut Host, dialled: Option<DialledNumber>| {
         let mut new = host.new_call(1);
         new.dialled = dialled.unwrap_or(new.dialled);
         let (dialled, start) = (new.dialled, host.now);
-        let mut actions = host.tell(Event::Call(new));
-        while let Some((wake, after)) = timer(&actions) {
+        let mut actions = host.handle(Event::Call(new));
+        while let Some((timer, after)) = timer_request(&actions) {
             host.now += after;
-            actions = host.tell(Event::Timer(wake));
+            actions = host.handle(Event::Timer(timer));
         }
         (dialled, host.now - start)
     };
     let mut host = Host::new(settings());
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
     for _ in 0..60 {
-        let (dialled, held) = held_for(&mut host, None);
-        assert!(held < ms(1000), "a fresh call waits while a set-up could still stand in time");
+        let (dialled, waited) = wait_of_call(&mut host, None);
+        assert!(
+            waited < ms(1000),
+            "a fresh call waits only while a set-up could still be answered in time"
+        );
         host.now += ms(600);
         for _ in 0..3 {
-            assert_eq!(held_for(&mut host, Some(dialled)).1, ms(0));
+            assert_eq!(wait_of_call(&mut host, Some(dialled)).1, ms(0));
         }
     }
 }
 
+/// Guards against calls that are sent after a wait although the queue at the local processor makes them late.
 #[test]
-fn a_held_call_that_the_own_wait_will_make_late_yields() {
-    let mut host = own_jam();
+fn a_waiting_call_that_the_local_delay_will_make_late_is_refused() {
+    let mut host = host_with_local_queue();
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
-    let (call, mut actions) = host.call(2);
-    let begun = host.now;
-    while let Some((wake, after)) = timer(&actions) {
+    let (call, mut actions) = host.place_call(2);
+    let start = host.now;
+    while let Some((timer, after)) = timer_request(&actions) {
         host.now += after;
-        actions = host.tell(Event::Timer(wake));
+        actions = host.handle(Event::Timer(timer));
     }
     assert!(matches!(actions[..], [Action::Refuse { call: c, .. }] if c == call), "{actions:?}");
-    assert!(host.now - begun < ms(500), "1.05 s to wait, aim 1.5 s");
-    host.circuits(2, 1);
-    assert_eq!(sent_to(&host.call(2).1), Some(far(2)), "a fresh call takes the last circuit");
+    assert!(host.now - start < ms(500), "the local delay is 1.05 s, the target delay 1.5 s");
+    host.set_free_circuits(2, 1);
+    assert_eq!(
+        sent_to(&host.place_call(2).1),
+        Some(exchange_id(2)),
+        "a fresh call takes the last circuit"
+    );
 }
 
+/// Guards against a processor that fails every set-up at once, and attracts calls by its low delay.
 #[test]
-fn a_processor_that_fails_at_once_is_shut() {
+fn a_processor_with_many_immediate_faults_is_marked_congested() {
     let mut host = Host::new(settings());
     host.answer_calls(2, 10, ms(50), ms(50));
     host.answer_calls(1, 10, ms(50), ms(50));
-    // Faults in a row, five to a call: each is excused while it may be sent again.
+    // Consecutive faults, five for each call: one set-up and four retries on the same processor.
     for _ in 0..11 {
-        let (call, actions) = host.call(1);
+        let (call, actions) = host.place_call(1);
         assert!(actions.len() == 1);
         for attempt in 0..5 {
-            host.over(call, attempt, Outcome::Fault);
-            host.circuits(1, 30);
+            host.end_attempt(call, attempt, Outcome::Fault);
+            host.set_free_circuits(1, 30);
         }
     }
-    assert_eq!(sent_to(&host.call(1).1), None, "quick faults are no low delay");
+    assert_eq!(sent_to(&host.place_call(1).1), None, "immediate faults must not count as a low delay");
 }
 
-/// Guards against a processor that serves only each fourth set-up, and is shut although one call in four
-/// attempts still stands well in time.
+/// Guards against marking a processor as congested that answers only each fourth set-up: with retries, each
+/// call is still answered well in time.
 #[test]
-fn a_processor_that_serves_some_set_ups_serves_its_calls() {
+fn a_processor_that_answers_each_fourth_set_up_still_gets_calls() {
     let mut host = Host::new(settings());
     host.answer_calls(1, 10, ms(50), ms(50));
     for _ in 0..20 {
-        let (call, actions) = host.call(1);
-        assert_eq!(sent_to(&actions), Some(far(1)));
+        let (call, actions) = host.place_call(1);
+        assert_eq!(sent_to(&actions), Some(exchange_id(1)));
         for attempt in 0..3 {
-            assert_eq!(sent_to(&host.over(call, attempt, Outcome::Fault)), Some(far(1)));
+            assert_eq!(sent_to(&host.end_attempt(call, attempt, Outcome::Fault)), Some(exchange_id(1)));
         }
-        host.stands(call, 3, ms(50));
-        host.circuits(1, 30);
+        host.answer(call, 3, ms(50));
+        host.set_free_circuits(1, 30);
         host.now += ms(50);
     }
 }
 
-/// Guards against a processor that serves most of its calls and is shut for the others' quick faults, or for
-/// answers that were spoilt on their way; and against a call that is given up on the first of them.
+/// Guards against marking a processor as congested for some immediate faults or corrupted answers although it
+/// serves most of its calls, and against failing a call on the first of them.
 #[test]
-fn some_faults_and_spoilt_answers_leave_the_latch_open_and_the_call_is_sent_again() {
+fn occasional_faults_and_lost_connections_mark_no_congestion_and_the_call_is_retried() {
     for (outcome, wait) in [(Outcome::Fault, ms(0)), (Outcome::Disconnected, ms(500))] {
         let mut host = Host::new(settings());
         host.answer_calls(1, 10, ms(50), ms(50));
         for _ in 0..10 {
-            let (call, actions) = host.call(1);
-            assert_eq!(sent_to(&actions), Some(far(1)));
-            let mut actions = host.over(call, 0, outcome);
-            if let Some((timer, after)) = timer(&actions) {
+            let (call, actions) = host.place_call(1);
+            assert_eq!(sent_to(&actions), Some(exchange_id(1)));
+            let mut actions = host.end_attempt(call, 0, outcome);
+            if let Some((timer, after)) = timer_request(&actions) {
                 assert_eq!(after, wait);
                 host.now += after;
-                actions = host.tell(Event::Timer(timer));
+                actions = host.handle(Event::Timer(timer));
             }
-            assert_eq!(sent_to(&actions), Some(far(1)), "once more after {outcome:?}");
-            host.stands(call, 1, ms(50));
-            host.circuits(1, 30);
+            assert_eq!(
+                sent_to(&actions),
+                Some(exchange_id(1)),
+                "retried on the same processor after {outcome:?}"
+            );
+            host.answer(call, 1, ms(50));
+            host.set_free_circuits(1, 30);
             host.now += ms(50);
         }
     }
 }
 
+/// Guards against treating a call as fresh that was not read for a whole stall of the controller.
 #[test]
-fn a_call_that_waited_through_a_standstill_yields_to_one_just_dialled() {
+fn a_call_delayed_by_a_stall_yields_to_a_fresh_call() {
     let mut host = Host::new(settings());
     for n in [1, 2, 3] {
         host.answer_calls(n, 40, ms(50), ms(50));
     }
     for n in 1..4 {
-        host.circuits(n, 1);
+        host.set_free_circuits(n, 1);
     }
     host.now += ms(1700);
     let mut waited = host.new_call(1);
     waited.patience = ms(1400);
-    assert_eq!(sent_to(&host.tell(Event::Call(waited))), None, "its aim passed while nobody looked");
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "one with all its patience came just now");
+    assert_eq!(
+        sent_to(&host.handle(Event::Call(waited))),
+        None,
+        "its target delay passed during the stall"
+    );
+    assert_eq!(
+        sent_to(&host.place_call(1).1),
+        Some(exchange_id(1)),
+        "a call with its full patience has just arrived"
+    );
 }
 
-/// Guards against a fresh processor that draws every blocked call, as the unheard tandem counts as the one
-/// of lowest delay: none but it serves its own subscribers.
+/// Guards against a cold processor that attracts every blocked call, because a tandem without samples counts as
+/// the one of lowest delay: its budget is needed for its own subscribers, whom no other processor serves.
 #[test]
-fn with_many_siblings_a_cold_processor_is_kept_for_the_calls_meant_for_it() {
+fn with_many_controllers_a_cold_processor_is_kept_for_calls_to_its_own_number() {
     let mut s = settings();
     s.controller_count = 80;
-    s.controller_index = 79; // its turn comes first, as exchange 1 started
+    s.controller_index = 79; // the first turn after the start of exchange 1
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     host.answer_calls(3, 100, ms(50), ms(50));
-    host.circuits(2, 0);
+    host.set_free_circuits(2, 0);
     let now = host.now;
-    host.change(1, Phase::InService, now);
-    assert_eq!(sent_to(&host.call(2).1), Some(far(3)), "not over the cold one");
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "which takes its own");
+    host.update_entry(1, Phase::InService, now);
+    assert_eq!(sent_to(&host.place_call(2).1), Some(exchange_id(3)), "not over the cold processor");
+    assert_eq!(
+        sent_to(&host.place_call(1).1),
+        Some(exchange_id(1)),
+        "calls to the cold processor itself are sent"
+    );
 }
 
-/// Guards against a restart under the same id: what was sent before it says nothing of its turn.
+/// Guards against counting set-ups before a restart under the same id as set-ups to the cold processor.
 #[test]
-fn a_processor_restarted_under_its_id_is_cold_anew() {
+fn a_processor_restarted_under_the_same_id_gets_a_new_cold_budget() {
     let mut s = settings();
     s.controller_count = 80;
-    s.controller_index = 39; // half a gap after the news of exchange 1
+    s.controller_index = 39; // a turn half an interval after the start of exchange 1
     let mut host = Host::new(s);
     host.answer_calls(1, 100, ms(50), ms(50));
     host.now += ms(20_000);
-    assert!(sent_to(&host.call(1).1).is_some(), "warm");
+    assert!(sent_to(&host.place_call(1).1).is_some(), "the processor is warm");
     host.now += ms(15_000);
     let now = host.now;
-    host.change(1, Phase::InService, now);
-    assert_eq!(sent_to(&host.call(1).1), None, "all siblings hear of it at once");
+    host.update_entry(1, Phase::InService, now);
+    assert_eq!(sent_to(&host.place_call(1).1), None, "the set-up waits for the turn of this controller");
     host.now += ms(2000);
-    host.change(1, Phase::InService, now);
+    host.update_entry(1, Phase::InService, now);
     host.now += ms(1000);
-    assert!(sent_to(&host.call(1).1).is_some(), "told again, the turn is not put off");
+    assert!(
+        sent_to(&host.place_call(1).1).is_some(),
+        "a repeated list entry does not postpone the turn"
+    );
 }
 
-/// Guards against controllers that start together with a cold processor and have seen no answer yet.
+/// Guards against too many set-ups by controllers that start together with a cold processor and have no answers
+/// yet to estimate its capacity from.
 #[test]
-fn without_an_answer_yet_a_cold_processor_is_sent_little() {
+fn a_controller_without_answers_sends_little_to_a_cold_processor() {
     let mut s = settings();
     s.controller_count = 80;
     s.controller_index = 39;
     let mut host = Host::new(s);
     let now = host.now;
-    host.change(1, Phase::InService, now);
+    host.update_entry(1, Phase::InService, now);
     let sent = (0..50).filter(|_| {
         host.now += ms(100);
-        sent_to(&host.call(1).1).is_some()
+        sent_to(&host.place_call(1).1).is_some()
     });
-    assert!(sent.count() <= 1, "five seconds of a part of one in more than that");
+    assert!(sent.count() <= 1, "the interval between set-ups is longer than the five seconds");
 }
 
-/// Guards against a jam that lowers what processors seem able to do: seconds after one, a fresh processor
-/// was left idle while calls for it were refused.
+/// Guards against a jam that lowers the capacity estimate: for seconds after one, a cold processor was left
+/// idle while calls to it were refused.
 #[test]
-fn what_was_carried_before_a_jam_still_says_what_a_cold_processor_can_do() {
+fn the_cold_budget_follows_the_highest_answer_rate_even_after_a_jam() {
     let mut s = settings();
     s.controller_count = 80;
-    s.controller_index = 39; // half a gap after the news of exchange 1: three seconds by what was carried
+    s.controller_index = 39; // a turn half an interval, three seconds, after the start of exchange 1
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     host.now += ms(40_000);
     host.answer_calls(3, 1, ms(50), ms(50));
     let now = host.now;
-    host.change(1, Phase::InService, now);
+    host.update_entry(1, Phase::InService, now);
     host.now += ms(3500);
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)));
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)));
 }
 
-/// Guards against sparse calls that meet at a gap: refused, though this router's part was not used before.
+/// Guards against refusing one of two calls at about the same time although the controller has not used its
+/// part of the budget before.
 #[test]
-fn one_set_up_to_a_cold_processor_not_used_when_due_is_kept_and_no_more() {
+fn exactly_one_unused_set_up_to_a_cold_processor_is_kept() {
     let mut s = settings();
     s.controller_count = 40;
-    s.controller_index = 39; // its turn comes first, as exchange 1 started
+    s.controller_index = 39; // the first turn after the start of exchange 1
     let mut host = Host::new(s);
     host.answer_calls(2, 100, ms(50), ms(50));
     let now = host.now;
-    host.change(1, Phase::InService, now);
-    assert_eq!(sent_to(&host.call(1).1), Some(far(1)), "its turn");
-    assert_eq!(sent_to(&host.call(1).1), None, "under a gap later");
+    host.update_entry(1, Phase::InService, now);
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "the turn of this controller");
+    assert_eq!(sent_to(&host.place_call(1).1), None, "less than one interval later");
     host.now += ms(13_000);
-    let sent = (0..10).filter(|_| sent_to(&host.call(1).1).is_some());
-    assert_eq!(sent.count(), 2, "the one due and one kept");
+    let sent = (0..10).filter(|_| sent_to(&host.place_call(1).1).is_some());
+    assert_eq!(sent.count(), 2, "one set-up that is due and one kept");
 }
 
-/// Guards against a call that waits for its release past its time: a set-up over a tandem that is cut late
-/// is not sent again, and its caller is answered at once.
+/// Guards against a call that waits for its release delay until it is late: after a late reset it is not set up
+/// again, and its caller is refused at once.
 #[test]
-fn a_call_that_would_be_late_after_the_wait_for_release_is_answered_at_once() {
-    for (cut_after, again) in [(200, true), (1100, false)] {
+fn a_call_that_the_release_delay_would_make_late_is_refused_at_once() {
+    for (reset_after, retried) in [(200, true), (1100, false)] {
         let mut host = Host::new(settings());
-        host.circuits(1, 0);
-        let (call, actions) = host.call(1);
-        assert!(sent_to(&actions).is_some_and(|to| to != far(1)), "over a tandem");
-        host.now += ms(cut_after);
-        let actions = host.over(call, 0, Outcome::Reset);
-        assert_eq!(timer(&actions).is_some(), again, "cut after {cut_after} ms");
-        assert_eq!(refused(&actions), !again);
+        host.set_free_circuits(1, 0);
+        let (call, actions) = host.place_call(1);
+        assert!(sent_to(&actions).is_some_and(|to| to != exchange_id(1)), "sent over a tandem");
+        host.now += ms(reset_after);
+        let actions = host.end_attempt(call, 0, Outcome::Reset);
+        assert_eq!(timer_request(&actions).is_some(), retried, "reset after {reset_after} ms");
+        assert_eq!(is_refused(&actions), !retried);
     }
 }
 
-/// Guards against advice that brings callers back when their call is worth little: within its time while it
-/// has any, else after as long as callers stay away, and to a busy number not before its next turn.
+/// Guards against a retry-after that brings callers back when their call is worth little. They should return
+/// within the target delay while that is possible, else as late as they accept, and to a busy number not before
+/// the next call may go there.
 #[test]
-fn a_refused_caller_is_told_when_to_come_back() {
-    let told = |actions: &[Action]| match actions {
-        [Action::Refuse { retry_after, .. }] => retry_after.expect("advice"),
-        other => panic!("no refusal: {other:?}"),
+fn a_refusal_carries_a_retry_after_that_fits_its_cause() {
+    let retry_after_of = |actions: &[Action]| match actions {
+        [Action::Refuse { retry_after, .. }] => retry_after.expect("the refusal has a retry-after"),
+        other => panic!("not a refusal: {other:?}"),
     };
     let mut host = Host::new(Settings { max_retry_after: ms(2000), ..settings() });
     for n in 1..4 {
-        host.circuits(n, 0);
+        host.set_free_circuits(n, 0);
     }
     let new = host.new_call(1);
-    let (begun, dialled) = (host.now, new.dialled);
-    let mut actions = host.tell(Event::Call(new));
-    while let Some((wake, after)) = timer(&actions) {
+    let (start, dialled) = (host.now, new.dialled);
+    let mut actions = host.handle(Event::Call(new));
+    while let Some((timer, after)) = timer_request(&actions) {
         host.now += after;
-        actions = host.tell(Event::Timer(wake));
+        actions = host.handle(Event::Timer(timer));
     }
-    let back = host.now + told(&actions) - begun;
-    assert!(told(&actions) > ms(0) && back < ms(1500), "back after {back:?}, aim 1.5 s");
-    host.now = begun + ms(1600);
+    let redial_after = host.now + retry_after_of(&actions) - start;
+    assert!(
+        retry_after_of(&actions) > ms(0) && redial_after < ms(1500),
+        "redial after {redial_after:?}, target delay 1.5 s"
+    );
+    host.now = start + ms(1600);
     let mut again = host.new_call(1);
     again.dialled = dialled;
-    assert_eq!(told(&host.tell(Event::Call(again))), ms(2000));
-    host.circuits(2, 30);
+    assert_eq!(retry_after_of(&host.handle(Event::Call(again))), ms(2000));
+    host.set_free_circuits(2, 30);
     let mut busy = host.new_call(2);
     busy.dialled = DialledNumber(5);
     let call = busy.call;
-    assert!(sent_to(&host.tell(Event::Call(busy))).is_some());
+    assert!(sent_to(&host.handle(Event::Call(busy))).is_some());
     assert_eq!(
-        told(&host.over(call, 0, Outcome::NumberBusy)),
+        retry_after_of(&host.end_attempt(call, 0, Outcome::NumberBusy)),
         ms(1000),
-        "the gap, a tenth of the mean hold"
+        "the interval, a tenth of the mean hold"
     );
-    // Once that turn has passed, the number is no reason to give no advice.
+    // Once the next call may go there, other refusals get a retry-after of their own.
     host.now += ms(1500);
     let mut again = host.new_call(2);
     again.dialled = DialledNumber(5);
     let call = again.call;
-    assert!(sent_to(&host.tell(Event::Call(again))).is_some());
+    assert!(sent_to(&host.handle(Event::Call(again))).is_some());
     host.now += ms(1200);
-    assert!(told(&host.over(call, 0, Outcome::ProcessorFull(None))) > ms(0));
+    assert!(retry_after_of(&host.end_attempt(call, 0, Outcome::ProcessorFull(None))) > ms(0));
 }
--- a/tests/controller/limits.rs
+++ b/tests/controller/limits.rs
@@ -1,4 +1,4 @@
-//! The decision module stays small enough to be read in one sitting.
+//! Limits that keep the decision module short enough to read in one sitting.
 
 const MODULE: &str = include_str!("../../src/control.rs");
 
--- a/tests/controller/main.rs
+++ b/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module through its public interface; no bench.
+//! Tests of the decision module through its public interface, without benchmark runs.
 
 mod common;
 mod failures;
