--- a/src/control.rs
+++ b/src/control.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Delay, in seconds, that the local processor adds to all those observed; not a fault of remote processors.
+/// Delay, in seconds, that the local processor adds to all observed ones; not to count against remote ones.
 #[derive(Debug, Default)]
 struct LocalDelay {
     /// Recent outcomes: the time, the excess over the lowest delay of the processor, whether it is an answer.
@@ -372,7 +372,8 @@
         self.peers.get_mut(&exchange).is_none_or(|p| p.estimate.update_flag(now, target, local))
     }
 
-    /// Whether a probe is due: not while a set-up is unanswered, so that probes do not add to a backlog.
+    /// Whether a probe, an ordinary call sent to a congested processor, is due. None is due while a set-up
+    /// there is unanswered, so that probes do not add to a backlog.
     fn probe_due(&self, exchange: ExchangeId) -> bool {
         self.peers.get(&exchange).map(|p| &p.estimate).is_some_and(|e| {
             let interval_over = e.last_sent_at.is_none_or(|t| self.now >= t + SAMPLE_PERIOD);
@@ -562,6 +563,7 @@
         let after_stall = self.now == self.local.stall_end && info.origin != Origin::Transit;
         let missing = Duration::from_secs_f64((self.mean_patience - secs(info.patience)).max(0.0));
         let waited = if after_stall { missing.min(self.local.stall_duration) } else { Duration::ZERO };
+        // A transit call or a dropped one is not a redial, so it has no earlier first try.
         let fresh = matches!(info.origin, Origin::Transit | Origin::DroppedCall);
         let prior = self.first_tries.get(&info.dialled).filter(|(_, until)| !fresh && *until > self.now);
         let first_try_at = prior.map_or(self.now.saturating_sub(waited), |(first, _)| *first);
@@ -892,8 +894,8 @@
 
     // ---- Rule checks ----------------------------------------------------------------------------
 
-    /// Checks the rules for every set-up other than draining: none to the local exchange or to a pool that
-    /// does not serve the class, the cold budget, and repeats of set-ups that may have run.
+    /// Checks the rules for a set-up, except that for draining exchanges: none to the local exchange or to a
+    /// pool that does not serve the class, the cold budget, and repeats of a set-up that may have run.
     fn may_send(&self, record: &CallRecord, exchange: ExchangeId) -> bool {
         let Some(peer) = self.peers.get(&exchange) else {
             return false;
