--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -1,7 +1,7 @@
 //! The exchanges' side of the platform's wire: few connections, kept open, since the state of a trunk
 //! group arrives unasked on them.
 
-mod upkeep;
+mod liveness;
 
 use super::conn::{dial_end_reason, Conn};
 use super::lines::{line, list_value, Message};
