--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -1,7 +1,7 @@
-//! The callers' side of the platform's wire.
+//! Client connections and the calls that arrive on them, in the platform's JSON lines.
 
 use super::conn::Conn;
-use super::lines::{is_hex, line, list_value, Message};
+use super::lines::{encode_message, is_hex, list_value, Message};
 use super::{lifecycle, Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
 use crate::arena::{Arena, Token};
 use crate::config::{Limits, WireConfig};
@@ -16,121 +16,132 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Causes of a final answer: refused, failed; of a release: ended, cut.
-const REFUSED: u32 = 42;
-const FAILED: u32 = 47;
-const ENDED: u32 = 16;
-const CUT: u32 = 41;
-/// A connection that closes within this time of a release on it may have lost it: it is sent again.
-const MAY_CROSS: Duration = Duration::from_secs(1);
-/// How long a release waits for a connection to go out on.
-const RELEASE_KEPT: Duration = Duration::from_secs(30);
-/// Wait before accepting again when there is no room.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Wait before looking again at one that is still owed its first answer.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
-/// Reads of a connection in one turn. What is left is read in the next, after all others have had theirs.
-const READS: usize = 4;
-/// A caller waits no longer than its class's deadline; this is for clocks and rounding.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// Numbers of exchanges and of circuits are below this.
-const MOST_FIGURE: f64 = 65_535.0;
-/// Releases that wait for a connection at most.
-const MOST_UNSENT: usize = 4096;
-
+/// Cause of a final answer: the call is refused.
+const CAUSE_REFUSED: u32 = 42;
+/// Cause of a final answer: the call has failed.
+const CAUSE_FAILED: u32 = 47;
+/// Cause of a release: the call has ended normally.
+const CAUSE_ENDED: u32 = 16;
+/// Cause of a release: the call was dropped.
+const CAUSE_DROPPED: u32 = 41;
+/// A release is sent again if its connection closes within this time and before the client confirms the
+/// release. The close and the release may have crossed, in which case the release was lost.
+const UNCONFIRMED_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a release that still waits for a connection is discarded.
+const PENDING_RELEASE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before accepting again after the process ran out of connections, descriptors or memory.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which a client that still waits for its first answer is reviewed.
+const UNANSWERED_RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of reads from one connection in one iteration of the event loop. Remaining data is read in
+/// the next iteration, so that one busy connection does not starve the others.
+const MAX_READS_PER_ITERATION: usize = 4;
+/// Tolerance for clock differences and rounding when a caller's patience is compared with the deadline of its
+/// class.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
+/// Upper limit of the number of an exchange and of the circuits of a call.
+const MAX_LIST_NUMBER: f64 = 65_535.0;
+/// Maximum number of releases that wait for a connection.
+const MAX_PENDING_RELEASES: usize = 4096;
+
+/// One client connection.
 struct Client {
     conn: Conn,
     peer: IpAddr,
-    since: Duration,
-    /// Set-ups on it whose answer is owed.
-    open: usize,
-    /// Calls of it that stand: their end is told here.
-    standing: usize,
-    /// It has been given an answer, to a set-up or a test.
+    accepted_at: Duration,
+    /// Number of unanswered set-ups on this connection.
+    unanswered: usize,
+    /// Number of established calls of this connection, whose releases are sent here.
+    established: usize,
+    /// Whether it has been sent an answer, to a set-up or to a health check.
     answered: bool,
-    /// A set-up has come on it: whoever only tests is no caller, and has no use for a release.
-    calls: bool,
-    /// It has confirmed the end of a call.
-    confirms: bool,
-    /// Since when its next message has been awaited or unfinished; none between messages.
-    awaited: Option<Duration>,
-    /// A deadline is set for that.
-    watched: bool,
-    last_heard: Duration,
-    /// Releases sent on it lately that have not been heard, with their ids: a close that they cross loses them.
-    released: Vec<(Duration, Release)>,
+    /// Whether it has sent a set-up or a release. A client that only sends health checks is not a caller and
+    /// cannot use a release.
+    is_caller: bool,
+    /// Whether it has confirmed a release.
+    confirms_releases: bool,
+    /// Since when its first message is awaited or a message is partially received; `None` between messages.
+    awaiting_since: Option<Duration>,
+    /// Whether a timer for that message is scheduled.
+    timer_scheduled: bool,
+    last_active_at: Duration,
+    /// Unconfirmed releases sent on this connection, with the times of sending. They may be lost if the
+    /// client closes the connection before it reads them.
+    unconfirmed_releases: Vec<(Duration, Release)>,
 }
 
 impl Client {
-    /// Whether a release sent on it may still be on its way.
+    /// Whether a release sent on it may still be in flight.
     fn is_releasing(&self, now: Duration) -> bool {
-        self.released.iter().any(|(at, _)| *at + MAY_CROSS > now)
+        self.unconfirmed_releases.iter().any(|(at, _)| *at + UNCONFIRMED_RELEASE_TIMEOUT > now)
     }
 }
 
-/// The end of a call that stood, as its caller is told.
+/// The release of an established call towards its caller.
 struct Release {
     tag: String,
-    /// Where its caller is.
+    /// The address of the caller.
     host: IpAddr,
     cause: u32,
-    /// Nobody can be told any more after this.
-    until: Duration,
+    /// The release is discarded after this time.
+    expires_at: Duration,
 }
 
-struct Known {
+/// A call that arrived on a client connection.
+struct ClientCall {
     tag: String,
     conn: Token,
     peer: IpAddr,
-    owed: bool,
-    stands: bool,
+    is_unanswered: bool,
+    is_established: bool,
 }
 
-/// All client connections and the calls that came on them.
+/// All client connections, and the calls that arrived on them.
 pub struct Clients {
-    /// None once what arrives is left to another process.
+    /// `None` once new connections are left to the process that replaces this one.
     listener: Option<TcpListener>,
     limits: Limits,
     conns: Arena<Client>,
-    calls: HashMap<CallToken, Known>,
-    /// Calls whose answer is owed.
-    owed: usize,
+    calls: HashMap<CallToken, ClientCall>,
+    /// Number of unanswered calls.
+    unanswered_calls: usize,
     by_tag: HashMap<String, CallToken>,
-    /// Releases that found no connection.
-    unsent: VecDeque<Release>,
-    doomed: Vec<(Token, EndReason)>,
-    /// Connections that had more to read than one turn allows.
+    /// Releases that wait for a connection.
+    pending_releases: VecDeque<Release>,
+    /// Connections that [`Clients::reap`] ends.
+    connections_to_end: Vec<(Token, EndReason)>,
+    /// Connections with unread data left over from the last iteration.
     unread: Vec<Token>,
-    /// There is no room, so nothing is accepted for a moment.
+    /// Whether accepting is paused for lack of connections, descriptors or memory.
     paused: bool,
-    /// More may wait to be accepted than one turn allows.
+    /// Whether more connections may be pending on the listener after the last iteration.
     unaccepted: bool,
 }
 
 impl Clients {
-    /// Takes over the listener, which is registered already.
+    /// Creates the state for a listener that is already registered.
     pub fn new(listener: TcpListener, limits: Limits) -> Self {
         Clients {
             listener: Some(listener),
             limits,
             conns: Arena::default(),
             calls: HashMap::new(),
-            owed: 0,
+            unanswered_calls: 0,
             by_tag: HashMap::new(),
-            unsent: VecDeque::new(),
-            doomed: Vec::new(),
+            pending_releases: VecDeque::new(),
+            connections_to_end: Vec::new(),
             unread: Vec::new(),
             paused: false,
             unaccepted: false,
         }
     }
 
-    /// Whether a call came in here.
+    /// Whether a call arrived on one of these connections.
     pub fn owns(&self, call: CallToken) -> bool {
         self.calls.contains_key(&call)
     }
 
-    /// Whether all that was sent has been written.
+    /// Whether the send buffers of all clients are empty.
     pub fn is_flushed(&self) -> bool {
         self.conns.iter().all(|(_, c)| c.conn.is_flushed())
     }
@@ -140,27 +151,28 @@
         self.conns.is_empty()
     }
 
-    /// Whether a set-up has begun to come that is not whole.
-    pub fn is_asked(&self) -> bool {
+    /// Whether a message from any client is partially received.
+    pub fn has_partial_message(&self) -> bool {
         self.conns.iter().any(|(_, c)| c.conn.has_partial_line())
     }
 
-    /// Leaves what arrives from now on to the process that replaces this one.
-    pub fn leave_door(&mut self, cx: &mut Context) {
+    /// Leaves new connections to the process that replaces this one.
+    pub fn close_listener(&mut self, cx: &mut Context) {
         if let Some(mut listener) = self.listener.take() {
             let _ = cx.registry.deregister(&mut listener);
         }
     }
 
-    /// Accepts those that wait, as far as there is room and the turn allows. The rest wait on for a moment.
+    /// Accepts pending connections, up to the limits of the process and of one iteration. The others stay
+    /// pending.
     pub fn accept(&mut self, cx: &mut Context) {
         if self.paused {
             return;
         }
         for _ in 0..ACCEPT_BATCH {
-            let held = self.conns.len();
-            if held >= self.limits.max_clients() && !self.make_way(cx) {
-                cx.log.line(cx.now, "accept-paused", format_args!("{held} clients"));
+            let client_count = self.conns.len();
+            if client_count >= self.limits.max_clients() && !self.evict_idle_client(cx) {
+                cx.log.line(cx.now, "accept-paused", format_args!("{client_count} clients"));
                 return self.pause(cx);
             }
             let Some(listener) = &self.listener else {
@@ -168,8 +180,8 @@
             };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    if held >= self.limits.idle_clients_from() {
-                        self.make_way(cx);
+                    if client_count >= self.limits.idle_clients_from() {
+                        self.evict_idle_client(cx);
                     }
                     self.add(stream, peer.ip(), cx);
                 }
@@ -177,9 +189,9 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
-                    // No descriptor or no memory.
+                    // No descriptor or memory is available.
                     cx.log.line(cx.now, "accept-failed", e);
-                    if !self.make_way(cx) {
+                    if !self.evict_idle_client(cx) {
                         return self.pause(cx);
                     }
                 }
@@ -188,30 +200,32 @@
         self.unaccepted = true;
     }
 
-    /// The pause is over.
-    pub fn accept_due(&mut self, cx: &mut Context) {
+    /// Accepts again after a pause.
+    pub fn resume_accepting(&mut self, cx: &mut Context) {
         self.paused = false;
         self.accept(cx);
     }
 
     fn pause(&mut self, cx: &mut Context) {
         self.paused = true;
-        cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::Accept);
-    }
-
-    /// Closes a connection that nobody is owed an answer on: first one whose calls are all over, which loses nothing
-    /// by it; then one that never had an answer and may be about to ask; then one with calls that stand, whose end
-    /// is to be told. Of these the one idle for longest. False if there is none, or if the first in turn was taken
-    /// in just now: it has had no chance to speak, and costs nobody else his.
-    fn make_way(&mut self, cx: &mut Context) -> bool {
-        let idle = self.conns.iter().filter(|(_, c)| c.open == 0);
-        let needed = |c: &Client| c.standing > 0 || c.is_releasing(cx.now);
-        let rank = |c: &Client| (needed(c), !c.answered, c.last_heard);
-        let first = idle.min_by_key(|(_, c)| rank(c)).filter(|(_, c)| c.last_heard < cx.now);
+        cx.timers.schedule(cx.now + ACCEPT_RETRY_DELAY, TimerEvent::ClientAccept);
+    }
+
+    /// Closes a connection without unanswered set-ups to make room for another. Connections without calls
+    /// that have been sent an answer are preferred, because the close loses nothing. Those that have not been
+    /// sent an answer come next: they may be about to send a set-up. Connections that are needed for the
+    /// releases of established calls come last. Among equals, the one idle for the longest time is closed.
+    /// Returns false if no such connection exists, or if the selected one was active in this iteration: a new
+    /// client must get the chance to send a message, and no other client is closed instead.
+    fn evict_idle_client(&mut self, cx: &mut Context) -> bool {
+        let idle = self.conns.iter().filter(|(_, c)| c.unanswered == 0);
+        let is_needed = |c: &Client| c.established > 0 || c.is_releasing(cx.now);
+        let rank = |c: &Client| (is_needed(c), !c.answered, c.last_active_at);
+        let first = idle.min_by_key(|(_, c)| rank(c)).filter(|(_, c)| c.last_active_at < cx.now);
         let Some((token, client)) = first else {
             return false;
         };
-        let (peer, standing) = (client.peer, client.standing);
+        let (peer, standing) = (client.peer, client.established);
         cx.log.line(
             cx.now,
             "client-closed",
@@ -223,24 +237,24 @@
 
     fn add(&mut self, mut stream: TcpStream, peer: IpAddr, cx: &mut Context) {
         let now = cx.now;
-        let (registry, bounds) = (cx.registry, self.limits.client_buffer_limits());
+        let (registry, buffer_limits) = (cx.registry, self.limits.client_buffer_limits());
         let mut registered = Ok(());
         let token = self.conns.insert_with(|token| {
-            let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, SourceKind::Client.token(token), both);
+            let interests = Interest::READABLE | Interest::WRITABLE;
+            registered = registry.register(&mut stream, SourceKind::Client.token(token), interests);
             Client {
-                conn: Conn::new(stream, bounds, true),
+                conn: Conn::new(stream, buffer_limits, true),
                 peer,
-                since: now,
-                open: 0,
-                standing: 0,
+                accepted_at: now,
+                unanswered: 0,
+                established: 0,
                 answered: false,
-                calls: false,
-                confirms: false,
-                awaited: Some(now),
-                watched: true,
-                last_heard: now,
-                released: Vec::new(),
+                is_caller: false,
+                confirms_releases: false,
+                awaiting_since: Some(now),
+                timer_scheduled: true,
+                last_active_at: now,
+                unconfirmed_releases: Vec::new(),
             }
         });
         if let Err(e) = registered {
@@ -248,50 +262,51 @@
             self.conns.remove(token);
             return;
         }
-        cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::Client(token));
-        self.send_kept(token, Some(peer), now);
+        cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::ClientTimeout(token));
+        self.send_pending_releases(token, Some(peer), now);
     }
 
-    /// Sends the releases that wait for a connection: those for a host, or all.
-    fn send_kept(&mut self, token: Token, host: Option<IpAddr>, now: Duration) {
-        self.unsent.retain(|r| r.until > now);
-        for release in std::mem::take(&mut self.unsent) {
+    /// Sends the releases that wait for a connection: those for `host`, or all if it is `None`.
+    fn send_pending_releases(&mut self, token: Token, host: Option<IpAddr>, now: Duration) {
+        self.pending_releases.retain(|r| r.expires_at > now);
+        for release in std::mem::take(&mut self.pending_releases) {
             if host.is_none_or(|h| h == release.host) {
-                self.release(Some(token), release, now);
+                self.send_release(Some(token), release, now);
             } else {
-                self.unsent.push_back(release);
+                self.pending_releases.push_back(release);
             }
         }
     }
 
-    /// A client should have said something by now.
-    pub fn due(&mut self, token: Token, cx: &mut Context) {
+    /// Handles the message timeout of a client.
+    pub fn timeout_due(&mut self, token: Token, cx: &mut Context) {
         let Some(client) = self.conns.get_mut(token) else {
             return;
         };
-        let idle = client.open == 0 && !client.answered;
-        let unfinished = client.awaited.filter(|_| client.answered || client.conn.has_partial_line());
+        let is_idle = client.unanswered == 0 && !client.answered;
+        let unfinished =
+            client.awaiting_since.filter(|_| client.answered || client.conn.has_partial_line());
         let next = match unfinished {
             Some(since) if cx.now >= since + MESSAGE_TIMEOUT => {
                 return self.end(token, EndReason::PeerSilent, cx)
             }
             Some(since) => since + MESSAGE_TIMEOUT,
-            None if idle => return self.end(token, EndReason::PeerSilent, cx),
-            None if !client.answered => cx.now + LOOK_AGAIN,
+            None if is_idle => return self.end(token, EndReason::PeerSilent, cx),
+            None if !client.answered => cx.now + UNANSWERED_RECHECK_INTERVAL,
             None => {
-                client.watched = false;
+                client.timer_scheduled = false;
                 return;
             }
         };
-        cx.timers.schedule(next, TimerEvent::Client(token));
+        cx.timers.schedule(next, TimerEvent::ClientTimeout(token));
     }
 
-    /// Whether a connection has more to read than its last turn allowed, or more wait to be accepted.
+    /// Whether a connection has unread data, or connections may be pending, left over from the last iteration.
     pub fn has_unread(&self) -> bool {
         !self.unread.is_empty() || self.unaccepted
     }
 
-    /// Accepts and reads on where the last turn left off.
+    /// Accepts the connections and reads the data left over from the last iteration.
     pub fn read_on(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.unaccepted) {
             self.accept(cx);
@@ -301,7 +316,7 @@
         }
     }
 
-    /// A connection can be read or written.
+    /// Handles an event on a connection: readable or writable.
     pub fn ready(&mut self, token: Token, cx: &mut Context) {
         if let Err(end) = self.read(token, cx) {
             self.end(token, end, cx);
@@ -309,64 +324,64 @@
     }
 
     fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), EndReason> {
-        for _ in 0..READS {
+        for _ in 0..MAX_READS_PER_ITERATION {
             let Some(client) = self.conns.get_mut(token) else {
                 return Ok(());
             };
             client.conn.flush()?;
             let read = client.conn.fill();
-            client.last_heard = cx.now;
-            // What came before the end of the stream still counts.
+            client.last_active_at = cx.now;
+            // Process the messages received before the end of the stream.
             while let Some(text) = self.conns.get_mut(token).map_or(Ok(None), |c| c.conn.next_line())? {
                 if let Some(client) = self.conns.get_mut(token) {
-                    client.awaited = None;
+                    client.awaiting_since = None;
                 }
                 if !text.is_empty() {
                     self.message(token, Message::parse(&text)?, cx)?;
                 }
             }
             if read? == 0 {
-                self.watch(token, cx);
+                self.watch_partial_message(token, cx);
                 return Ok(());
             }
         }
-        self.watch(token, cx);
+        self.watch_partial_message(token, cx);
         self.unread.push(token);
         Ok(())
     }
 
-    /// Sees to it that a message which has begun gets whole.
-    fn watch(&mut self, token: Token, cx: &mut Context) {
+    /// Schedules the timeout of a partially received message.
+    fn watch_partial_message(&mut self, token: Token, cx: &mut Context) {
         if let Some(client) = self.conns.get_mut(token).filter(|c| c.conn.has_partial_line()) {
-            client.awaited.get_or_insert(cx.now);
-            if !client.watched {
-                client.watched = true;
-                cx.timers.schedule(cx.now + MESSAGE_TIMEOUT, TimerEvent::Client(token));
+            client.awaiting_since.get_or_insert(cx.now);
+            if !client.timer_scheduled {
+                client.timer_scheduled = true;
+                cx.timers.schedule(cx.now + MESSAGE_TIMEOUT, TimerEvent::ClientTimeout(token));
             }
         }
     }
 
     fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
         match message.verb.as_str() {
-            "START" => self.start(token, message, cx),
+            "START" => self.handle_set_up(token, message, cx),
             "FINISH" => {
                 if let Some(call) = self.by_tag.get(&message.tag).copied() {
-                    self.is_caller(token);
-                    self.forget(call);
+                    self.mark_as_caller(token);
+                    self.remove_call(call);
                     cx.engine.caller_ended(cx.now, call, cx.timers);
                 }
                 Ok(())
             }
             "ECHO" => {
                 let passed = u32::from(cx.lifecycle.is_ready());
-                self.answer(token, &line("ECHOED", &message.tag, &[], Some(passed), None));
+                self.answer(token, &encode_message("ECHOED", &message.tag, &[], Some(passed), None));
                 Ok(())
             }
             "FINISHED" => {
                 if let Some(client) = self.conns.get_mut(token) {
-                    let before = client.released.len();
-                    client.released.retain(|(_, r)| r.tag != message.tag);
-                    client.confirms |= client.released.len() < before;
+                    let before = client.unconfirmed_releases.len();
+                    client.unconfirmed_releases.retain(|(_, r)| r.tag != message.tag);
+                    client.confirms_releases |= client.unconfirmed_releases.len() < before;
                 }
                 Ok(())
             }
@@ -375,152 +390,189 @@
         }
     }
 
-    fn start(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
+    fn handle_set_up(
+        &mut self,
+        token: Token,
+        message: Message,
+        cx: &mut Context,
+    ) -> Result<(), EndReason> {
         let Some(client) = self.conns.get(token) else {
             return Ok(());
         };
-        // Without an id of its own a set-up can't be answered; forwarded, it would cost the connection to the
-        // exchange, whatever else is open there.
+        // A set-up without a valid id cannot be answered. If it were forwarded, the exchange would close its
+        // connection, and all other set-ups on that connection would be lost.
         if !is_hex(&message.tag) {
             return Err(EndReason::MalformedMessage);
         }
         if self.by_tag.contains_key(&message.tag) {
-            // Answered under the id, it would look like the answer to the call that has it.
+            // The client would take an answer under this id for the answer to the existing call.
             cx.log.line(cx.now, "set-up-twice", &message.tag);
             return Err(EndReason::MalformedMessage);
         }
         let peer = client.peer;
         let tag = message.tag.clone();
-        let new = match incoming(message, cx.wire) {
+        let new = match parse_set_up(message, cx.wire) {
             Ok(new) => new,
             Err(field) => {
-                // Its caller has an id to be answered by, so it costs the call and not the connection.
+                // The set-up has a valid id, so the call is answered as failed and the connection is kept.
                 cx.log.line(cx.now, "set-up-malformed", format_args!("{tag}: {field}"));
-                self.answer(token, &line("FINISH", &tag, &[], Some(FAILED), None));
+                self.answer(token, &encode_message("FINISH", &tag, &[], Some(CAUSE_FAILED), None));
                 return Ok(());
             }
         };
-        let drained = match cx.lifecycle.client_policy(cx.now) {
+        let refused_by_drain = match cx.lifecycle.client_policy(cx.now) {
             lifecycle::ClientPolicy::Keep => false,
-            lifecycle::ClientPolicy::Close(old) => self.stays_for_calls(token, old),
+            lifecycle::ClientPolicy::Close(cutoff) => self.is_kept_for_calls(token, cutoff),
             lifecycle::ClientPolicy::Refuse(_) => true,
         };
-        if drained || self.owed >= self.limits.calls() {
-            if !drained {
-                cx.log.line(cx.now, "too-many-calls", format_args!("{} owed", self.owed));
+        if refused_by_drain || self.unanswered_calls >= self.limits.calls() {
+            if !refused_by_drain {
+                cx.log.line(
+                    cx.now,
+                    "too-many-calls",
+                    format_args!("{} unanswered", self.unanswered_calls),
+                );
             }
             cx.engine.count_refused(new.class);
-            // There is nothing to wait for at one that is drained: others take the call at once.
-            let wait =
-                cx.engine.max_retry_after().filter(|_| !drained).map(|s| s.as_millis().to_string());
+            // No retry delay is given while draining, because another controller can take the call at once.
+            let wait = cx
+                .engine
+                .max_retry_after()
+                .filter(|_| !refused_by_drain)
+                .map(|s| s.as_millis().to_string());
             let opts: Vec<_> = wait.iter().map(|w| ("wait", w.as_str())).collect();
-            self.answer(token, &line("FINISH", &tag, &opts, Some(REFUSED), None));
+            self.answer(token, &encode_message("FINISH", &tag, &opts, Some(CAUSE_REFUSED), None));
         } else {
             if let Some(client) = self.conns.get_mut(token) {
-                client.open += 1;
+                client.unanswered += 1;
             }
-            self.owed += 1;
+            self.unanswered_calls += 1;
             let call = cx.engine.new_call(cx.now, new, cx.timers);
             self.by_tag.insert(tag.clone(), call);
-            self.calls.insert(call, Known { tag, conn: token, peer, owed: true, stands: false });
+            self.calls.insert(
+                call,
+                ClientCall { tag, conn: token, peer, is_unanswered: true, is_established: false },
+            );
         }
-        // Callers are known by their calls: a release that waits may go to one.
-        self.is_caller(token);
-        self.send_kept(token, None, cx.now);
+        // A set-up identifies the client as a caller, so pending releases may be sent to it.
+        self.mark_as_caller(token);
+        self.send_pending_releases(token, None, cx.now);
         Ok(())
     }
 
-    fn is_caller(&mut self, token: Token) {
+    fn mark_as_caller(&mut self, token: Token) {
         if let Some(client) = self.conns.get_mut(token) {
-            client.calls = true;
+            client.is_caller = true;
         }
     }
 
-    /// Forgets a call that is over.
-    fn forget(&mut self, call: CallToken) -> Option<Known> {
-        self.settled(call, false);
-        let known = self.calls.remove(&call)?;
-        self.by_tag.remove(&known.tag);
-        if let Some(client) = self.conns.get_mut(known.conn).filter(|_| known.stands) {
-            client.standing -= 1;
+    /// Removes a call that has ended.
+    fn remove_call(&mut self, call: CallToken) -> Option<ClientCall> {
+        self.mark_answered(call, false);
+        let client_call = self.calls.remove(&call)?;
+        self.by_tag.remove(&client_call.tag);
+        if let Some(client) = self.conns.get_mut(client_call.conn).filter(|_| client_call.is_established)
+        {
+            client.established -= 1;
         }
-        Some(known)
-    }
-
-    /// The final answer of a call is given, or not owed any more.
-    fn settled(&mut self, call: CallToken, stands: bool) {
-        if let Some(known) = self.calls.get_mut(&call).filter(|k| k.owed) {
-            (known.owed, known.stands) = (false, stands);
-            self.owed -= 1;
-            if let Some(client) = self.conns.get_mut(known.conn) {
-                client.open -= 1;
-                client.standing += usize::from(stands);
+        Some(client_call)
+    }
+
+    /// Marks a call as answered, or as no longer waiting for an answer.
+    fn mark_answered(&mut self, call: CallToken, is_established: bool) {
+        if let Some(client_call) =
+            self.calls.get_mut(&call).filter(|client_call| client_call.is_unanswered)
+        {
+            (client_call.is_unanswered, client_call.is_established) = (false, is_established);
+            self.unanswered_calls -= 1;
+            if let Some(client) = self.conns.get_mut(client_call.conn) {
+                client.unanswered -= 1;
+                client.established += usize::from(is_established);
             }
         }
     }
 
-    /// Carries out a command for a call that came in here.
+    /// Executes a command for a call of a client.
     pub fn command(&mut self, command: Command, cx: &mut Context) {
         match command {
             Command::Answer(call, description) => {
-                self.settled(call, true);
-                if let Some(k) = self.calls.get(&call) {
-                    let (conn, answer) =
-                        (k.conn, line("STARTED", &k.tag, &[], None, Some(&description)));
+                self.mark_answered(call, true);
+                if let Some(client_call) = self.calls.get(&call) {
+                    let (conn, answer) = (
+                        client_call.conn,
+                        encode_message("STARTED", &client_call.tag, &[], None, Some(&description)),
+                    );
                     self.answer(conn, &answer);
                 }
             }
-            Command::Refuse(call, stay) => {
-                let wait = stay.map(|s| s.as_millis().to_string());
+            Command::Refuse(call, retry_after) => {
+                let wait = retry_after.map(|s| s.as_millis().to_string());
                 let opts: Vec<_> = wait.iter().map(|w| ("wait", w.as_str())).collect();
-                if let Some(k) = self.forget(call) {
-                    self.answer(k.conn, &line("FINISH", &k.tag, &opts, Some(REFUSED), None));
+                if let Some(client_call) = self.remove_call(call) {
+                    self.answer(
+                        client_call.conn,
+                        &encode_message("FINISH", &client_call.tag, &opts, Some(CAUSE_REFUSED), None),
+                    );
                 }
             }
             Command::Fail(call) => {
-                if let Some(k) = self.forget(call) {
-                    self.answer(k.conn, &line("FINISH", &k.tag, &[], Some(FAILED), None));
+                if let Some(client_call) = self.remove_call(call) {
+                    self.answer(
+                        client_call.conn,
+                        &encode_message("FINISH", &client_call.tag, &[], Some(CAUSE_FAILED), None),
+                    );
                 }
             }
             Command::ReleaseCaller(call, cause) => {
-                let Some(k) = self.forget(call) else {
+                let Some(client_call) = self.remove_call(call) else {
                     return;
                 };
-                let cause = if cause == ReleaseCause::Normal { ENDED } else { CUT };
-                let conn = self.way_back(k.conn, k.peer);
+                let cause = if cause == ReleaseCause::Normal { CAUSE_ENDED } else { CAUSE_DROPPED };
+                let conn = self.select_release_connection(client_call.conn, client_call.peer);
                 if conn.is_none() {
                     let why = "no connection of its caller";
-                    cx.log.line(cx.now, "release-kept", format_args!("call={} why=\"{why}\"", k.tag));
+                    cx.log.line(
+                        cx.now,
+                        "release-kept",
+                        format_args!("call={} why=\"{why}\"", client_call.tag),
+                    );
                 }
-                let release = Release { tag: k.tag, host: k.peer, cause, until: cx.now + RELEASE_KEPT };
-                self.release(conn, release, cx.now);
+                let release = Release {
+                    tag: client_call.tag,
+                    host: client_call.peer,
+                    cause,
+                    expires_at: cx.now + PENDING_RELEASE_TIMEOUT,
+                };
+                self.send_release(conn, release, cx.now);
             }
             _ => {}
         }
     }
 
-    /// The connection for a release: the call's own, else one from the same host, else one that has confirmed another,
-    /// else one on which a call has come; of these the newest. Any other from elsewhere may be anybody's.
-    fn way_back(&self, own: Token, host: IpAddr) -> Option<Token> {
+    /// Selects the connection for a release: the connection of the call; otherwise one from the same host;
+    /// otherwise one that has confirmed another release; otherwise one that is a caller. Among equals, the
+    /// most recently active one is selected. Other connections from other hosts are not used, because they
+    /// may belong to anyone.
+    fn select_release_connection(&self, own: Token, host: IpAddr) -> Option<Token> {
         if self.conns.get(own).is_some() {
             return Some(own);
         }
-        let callers = self.conns.iter().filter(|(_, c)| c.calls || c.peer == host);
-        let rank = |c: &Client| (c.peer == host, c.confirms, c.calls, c.last_heard);
+        let callers = self.conns.iter().filter(|(_, c)| c.is_caller || c.peer == host);
+        let rank = |c: &Client| (c.peer == host, c.confirms_releases, c.is_caller, c.last_active_at);
         callers.max_by_key(|(_, c)| rank(c)).map(|(token, _)| token)
     }
 
-    /// Sends a release, or keeps it for the next connection.
-    fn release(&mut self, conn: Option<Token>, release: Release, now: Duration) {
+    /// Sends a release, or queues it for the next connection.
+    fn send_release(&mut self, conn: Option<Token>, release: Release, now: Duration) {
         let Some((token, client)) = conn.and_then(|t| Some((t, self.conns.get_mut(t)?))) else {
-            if self.unsent.len() >= MOST_UNSENT {
-                self.unsent.pop_front();
+            if self.pending_releases.len() >= MAX_PENDING_RELEASES {
+                self.pending_releases.pop_front();
             }
-            return self.unsent.push_back(release);
+            return self.pending_releases.push_back(release);
         };
-        let bytes = line("FINISH", &release.tag, &[], Some(release.cause), None);
-        client.released.retain(|(at, _)| *at + MAY_CROSS > now);
-        client.released.push((now, release));
+        let bytes = encode_message("FINISH", &release.tag, &[], Some(release.cause), None);
+        client.unconfirmed_releases.retain(|(at, _)| *at + UNCONFIRMED_RELEASE_TIMEOUT > now);
+        client.unconfirmed_releases.push((now, release));
         self.send(token, &bytes);
     }
 
@@ -535,44 +587,46 @@
     fn send(&mut self, token: Token, bytes: &[u8]) {
         if let Some(client) = self.conns.get_mut(token) {
             if let Err(end) = client.conn.send(bytes) {
-                self.doomed.push((token, end));
+                self.connections_to_end.push((token, end));
             }
         }
     }
 
-    /// Ends the connections that broke while something was sent.
+    /// Ends the connections that failed during a send, and closes idle ones while draining or after a takeover.
     pub fn reap(&mut self, cx: &mut Context) {
-        for (token, end) in std::mem::take(&mut self.doomed) {
+        for (token, end) in std::mem::take(&mut self.connections_to_end) {
             self.end(token, end, cx);
         }
         match cx.lifecycle.client_policy(cx.now) {
             lifecycle::ClientPolicy::Keep => {}
-            lifecycle::ClientPolicy::Close(old) | lifecycle::ClientPolicy::Refuse(old) => {
-                self.close_idle(old, cx)
+            lifecycle::ClientPolicy::Close(cutoff) | lifecycle::ClientPolicy::Refuse(cutoff) => {
+                self.close_idle(cutoff, cx)
             }
         }
     }
 
-    /// Closes the connections that have had their answers, on which no release is on its way, and that the end of a
-    /// call need not be told on. One that has not spoken yet is left its time to do so.
-    fn close_idle(&mut self, old: Duration, cx: &mut Context) {
-        let settled = |c: &Client| c.answered && c.open == 0 && !c.is_releasing(cx.now);
-        let idle = |c: &Client| settled(c) && c.conn.is_flushed() && !c.conn.has_partial_line();
-        let idle = self.conns.iter().filter(|(token, c)| idle(c) && !self.unread.contains(token));
-        let idle = idle.filter(|(token, _)| !self.stays_for_calls(*token, old));
+    /// Closes the connections that have been sent all their answers, have no release in flight and are not
+    /// kept for established calls. A client that has not been sent an answer yet is not closed.
+    fn close_idle(&mut self, cutoff: Duration, cx: &mut Context) {
+        let is_settled = |c: &Client| c.answered && c.unanswered == 0 && !c.is_releasing(cx.now);
+        let is_idle = |c: &Client| is_settled(c) && c.conn.is_flushed() && !c.conn.has_partial_line();
+        let idle = self.conns.iter().filter(|(token, c)| is_idle(c) && !self.unread.contains(token));
+        let idle = idle.filter(|(token, _)| !self.is_kept_for_calls(*token, cutoff));
         let idle: Vec<_> = idle.map(|(token, _)| token).collect();
         idle.into_iter().for_each(|token| self.end(token, EndReason::ClosedLocally, cx));
     }
 
-    /// Whether a connection would be closed in a drain but for the ends of its calls, which are to be told there. One that
-    /// came after the clients could notice stays only while none from before is there for that.
-    fn stays_for_calls(&self, token: Token, old: Duration) -> bool {
-        let kept = || self.conns.iter().any(|(_, c)| c.since < old && c.standing > 0);
-        let client = self.conns.get(token).filter(|c| c.standing > 0 && !old.is_zero());
-        client.is_some_and(|c| c.since < old || !kept())
+    /// Whether a drain keeps a connection open for the releases of its established calls. A connection
+    /// accepted at or after `cutoff` is kept only while no older connection with established calls exists. A
+    /// `cutoff` of zero keeps none.
+    fn is_kept_for_calls(&self, token: Token, cutoff: Duration) -> bool {
+        let has_older = || self.conns.iter().any(|(_, c)| c.accepted_at < cutoff && c.established > 0);
+        let client = self.conns.get(token).filter(|c| c.established > 0 && !cutoff.is_zero());
+        client.is_some_and(|c| c.accepted_at < cutoff || !has_older())
     }
 
-    /// Closing a connection gives up the set-ups that are open on it; what stands belongs to none.
+    /// Ends a connection. Its unanswered set-ups are cancelled; established calls belong to no connection and
+    /// continue.
     fn end(&mut self, token: Token, end: EndReason, cx: &mut Context) {
         let Some(mut client) = self.conns.remove(token) else {
             return;
@@ -581,37 +635,46 @@
         if !matches!(end, EndReason::PeerClosed | EndReason::ClosedLocally) {
             cx.log.line(cx.now, "client-ended", format_args!("{}: {end}", client.peer));
         }
-        for (_, release) in client.released.into_iter().filter(|(at, _)| *at + MAY_CROSS > cx.now) {
-            let conn = self.way_back(token, release.host);
-            let why = format_args!("call={} why=\"not heard when its connection closed\"", release.tag);
+        for (_, release) in client
+            .unconfirmed_releases
+            .into_iter()
+            .filter(|(at, _)| *at + UNCONFIRMED_RELEASE_TIMEOUT > cx.now)
+        {
+            let conn = self.select_release_connection(token, release.host);
+            let why =
+                format_args!("call={} why=\"not confirmed when its connection closed\"", release.tag);
             cx.log.line(cx.now, "release-again", why);
-            self.release(conn, release, cx.now);
+            self.send_release(conn, release, cx.now);
         }
-        if client.open > 0 {
-            let open = self.calls.iter().filter(|(_, k)| k.conn == token && k.owed);
-            let open: Vec<_> = open.map(|(call, _)| *call).collect();
-            for call in open {
-                self.forget(call);
+        if client.unanswered > 0 {
+            let unanswered = self
+                .calls
+                .iter()
+                .filter(|(_, client_call)| client_call.conn == token && client_call.is_unanswered);
+            let unanswered: Vec<_> = unanswered.map(|(call, _)| *call).collect();
+            for call in unanswered {
+                self.remove_call(call);
                 cx.engine.caller_ended(cx.now, call, cx.timers);
             }
         }
     }
 }
 
-/// Reads a set-up; names the field at fault. What goes on to an exchange unchanged must be what it can read,
-/// as it closes its connection on anything else; and a figure that is out of range is not mended.
-fn incoming(message: Message, wire: &WireConfig) -> Result<IncomingCall, &'static str> {
+/// Parses a set-up; the error names the invalid field. Fields forwarded unchanged must be valid for the
+/// exchange, because it closes its connection on any invalid message. Numbers out of range are rejected, not
+/// clamped.
+fn parse_set_up(message: Message, wire: &WireConfig) -> Result<IncomingCall, &'static str> {
     let class = wire.classes.iter().position(|c| c == message.opt("class")).ok_or("class")?;
     let left: f64 = message.opt("left").parse().map_err(|_| "left")?;
     let patience = slateshed_settings::duration(left).ok_or("left")?;
-    if patience.is_zero() || patience > wire.deadlines[class] + LEFT_SLACK {
+    if patience.is_zero() || patience > wire.deadlines[class] + DEADLINE_TOLERANCE {
         return Err("left");
     }
     let key = Some(message.opt("key")).filter(|k| is_hex(k)).ok_or("key")?;
     let dialled = u64::from_str_radix(key, 16).map_err(|_| "key")?;
     let extras = message.opt("extras");
     let count = |name| {
-        let whole = |x: &f64| x.fract() == 0.0 && (0.0..=MOST_FIGURE).contains(x);
+        let whole = |x: &f64| x.fract() == 0.0 && (0.0..=MAX_LIST_NUMBER).contains(x);
         list_value(extras, name).filter(whole).map(|x| x as u32)
     };
     let flag = |name| count(name).is_some_and(|x| x != 0);
--- a/node/src/net/conn.rs
+++ b/node/src/net/conn.rs
@@ -1,32 +1,37 @@
-//! A TCP connection with bounded buffers: partial reads and writes, and lines out of a stream.
+//! A TCP connection with bounded buffers that handles partial reads and writes and splits the stream into
+//! lines.
 
 use crate::end::EndReason;
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Bytes read at a time.
-const CHUNK: usize = 16 * 1024;
-/// A buffer that is empty keeps no more room than this: one burst on each of many connections would else hold
-/// its memory for good.
-const KEPT: usize = 1024;
+/// Maximum bytes per read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum capacity that an empty buffer keeps. Without this limit, one burst on each of many connections
+/// would keep its memory allocated for as long as the connections last.
+const MAX_IDLE_BUFFER_BYTES: usize = 1024;
 
 /// One connection.
 #[derive(Debug)]
 pub struct Conn {
-    /// The socket, registered for both directions.
+    /// The socket, registered for reading and writing.
     pub stream: TcpStream,
-    up: bool,
+    /// Whether the connection is established.
+    is_established: bool,
+    /// The receive buffer.
     input: Vec<u8>,
-    /// How much of the input has been taken out as lines.
-    taken: usize,
-    bounds: BufferLimits,
+    /// Number of input bytes that have been returned as lines.
+    consumed: usize,
+    limits: BufferLimits,
+    /// The send buffer.
     output: Vec<u8>,
+    /// Number of bytes of `output` that have been written to the socket.
     written: usize,
-    /// Bytes sent, ever, and of those the ones that the system has not taken over yet are in `output`.
-    sent: u64,
-    /// No more is sent: this side is closed once all that waits is written.
-    finishing: bool,
+    /// Total bytes queued so far, including those that are still in `output`.
+    bytes_queued: u64,
+    /// Whether the send direction is shut down once the send buffer is written.
+    shutdown_pending: bool,
 }
 
 /// Limits of the buffers of one connection.
@@ -39,22 +44,32 @@
 }
 
 impl Conn {
-    /// A connection within its bounds. One that is dialled is not `up` yet.
-    pub fn new(stream: TcpStream, bounds: BufferLimits, up: bool) -> Self {
-        // Each message is wanted at once; a connection that can't have it still works.
+    /// Creates a connection with buffer limits. A dialled connection is not established yet.
+    pub fn new(stream: TcpStream, limits: BufferLimits, is_established: bool) -> Self {
+        // Send each message without delay. If the option cannot be set, the connection still works.
         let _ = stream.set_nodelay(true);
         let (input, output) = (Vec::new(), Vec::new());
-        Conn { stream, up, input, taken: 0, bounds, output, written: 0, sent: 0, finishing: false }
+        Conn {
+            stream,
+            is_established,
+            input,
+            consumed: 0,
+            limits,
+            output,
+            written: 0,
+            bytes_queued: 0,
+            shutdown_pending: false,
+        }
     }
 
     /// Whether the connection is established.
     pub fn is_connected(&self) -> bool {
-        self.up
+        self.is_established
     }
 
-    /// Checks whether a dialled connection is established by now.
+    /// Checks whether a dialled connection is now established.
     pub fn check_connected(&mut self) -> Result<bool, EndReason> {
-        if self.up {
+        if self.is_established {
             return Ok(true);
         }
         match self.stream.take_error() {
@@ -62,17 +77,17 @@
             Ok(None) => {}
         }
         match self.stream.peer_addr() {
-            Ok(_) => self.up = true,
+            Ok(_) => self.is_established = true,
             Err(e) if e.kind() == ErrorKind::NotConnected => {}
             Err(e) => return Err(dial_end_reason(e.kind())),
         }
-        Ok(self.up)
+        Ok(self.is_established)
     }
 
-    /// Reads once; the bytes read, or none where there is nothing more for now.
+    /// Reads once and returns the number of bytes read, or 0 if no data is available yet.
     pub fn fill(&mut self) -> Result<usize, EndReason> {
         self.compact();
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let read = loop {
             match self.stream.read(&mut chunk) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -90,72 +105,72 @@
         }
     }
 
-    /// Gives up the room of what has been taken out.
+    /// Removes the consumed bytes from the receive buffer.
     fn compact(&mut self) {
-        self.input.drain(..self.taken);
-        self.taken = 0;
-        if self.input.is_empty() && self.input.capacity() > KEPT {
+        self.input.drain(..self.consumed);
+        self.consumed = 0;
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.input = Vec::new();
         }
     }
 
-    /// Takes the next whole line out, without its line feed.
+    /// Removes the next complete line from the receive buffer and returns it without its line feed.
     pub fn next_line(&mut self) -> Result<Option<Vec<u8>>, EndReason> {
-        let rest = &self.input[self.taken..];
+        let rest = &self.input[self.consumed..];
         let end = rest.iter().position(|b| *b == b'\n');
-        if end.unwrap_or(rest.len()) > self.bounds.max_line {
+        if end.unwrap_or(rest.len()) > self.limits.max_line {
             return Err(EndReason::MessageTooLong);
         }
         let line = end.map(|end| rest[..end].to_vec());
         match &line {
-            Some(line) => self.taken += line.len() + 1,
+            Some(line) => self.consumed += line.len() + 1,
             None => self.compact(),
         }
         Ok(line)
     }
 
-    /// Whether a line has begun and is not whole.
+    /// Whether the receive buffer holds unconsumed data: after all complete lines are removed, a partial line.
     pub fn has_partial_line(&self) -> bool {
-        self.taken < self.input.len()
+        self.consumed < self.input.len()
     }
 
-    /// Bytes received and not taken out yet.
+    /// The receive buffer.
     pub fn received(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
 
-    /// Queues bytes and writes what the peer takes at once.
+    /// Queues bytes and writes as many as the socket accepts now.
     pub fn send(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
-        if self.output.len() - self.written + bytes.len() > self.bounds.max_buffered {
+        if self.output.len() - self.written + bytes.len() > self.limits.max_buffered {
             return Err(EndReason::SendBufferFull);
         }
         self.output.extend_from_slice(bytes);
-        self.sent += bytes.len() as u64;
+        self.bytes_queued += bytes.len() as u64;
         self.flush()
     }
 
-    /// Closes this side once all that waits has been written; the peer may still send.
+    /// Shuts down the send direction once the send buffer is written; the peer may still send.
     pub fn shutdown_write(&mut self) {
-        self.finishing = true;
-        // A connection that is broken already shows that when it is read.
+        self.shutdown_pending = true;
+        // If the connection is already broken, the next read reports it.
         let _ = self.flush();
     }
 
-    /// Bytes sent so far: where the next message begins in the stream.
-    pub fn sent(&self) -> u64 {
-        self.sent
+    /// Total bytes queued so far: the offset of the next message in the stream.
+    pub fn bytes_queued(&self) -> u64 {
+        self.bytes_queued
     }
 
-    /// Whether the stream's bytes up to a place have all been handed to the system. What has not can't have
-    /// reached the peer whole.
+    /// Whether all bytes of the stream up to an offset have been written to the socket. A message that is not
+    /// fully written cannot have reached the peer completely.
     pub fn has_written(&self, up_to: u64) -> bool {
-        let waiting = (self.output.len() - self.written) as u64;
-        up_to <= self.sent - waiting
+        let unwritten = (self.output.len() - self.written) as u64;
+        up_to <= self.bytes_queued - unwritten
     }
 
-    /// Writes what waits, as far as the peer takes it.
+    /// Writes as much of the send buffer as the socket accepts.
     pub fn flush(&mut self) -> Result<(), EndReason> {
-        if !self.up {
+        if !self.is_established {
             return Ok(());
         }
         while self.written < self.output.len() {
@@ -169,30 +184,30 @@
         }
         self.output.clear();
         self.written = 0;
-        if self.output.capacity() > KEPT {
+        if self.output.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.output = Vec::new();
         }
-        if std::mem::take(&mut self.finishing) {
+        if std::mem::take(&mut self.shutdown_pending) {
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         Ok(())
     }
 
-    /// Whether all that was sent has been written.
+    /// Whether the send buffer is empty.
     pub fn is_flushed(&self) -> bool {
         self.output.is_empty()
     }
 }
 
-/// How a connection ended that never came up.
+/// Maps the error of a dial to an end reason.
 pub fn dial_end_reason(kind: ErrorKind) -> EndReason {
     match kind {
         ErrorKind::ConnectionRefused => EndReason::ConnectionRefused,
         ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => {
             EndReason::DialTimedOut
         }
-        // Reset before it was seen to be up. Nothing was written to it; but somebody was there to take it, so
-        // it does not prove that the process is down.
+        // Reset before the connection was seen to be established. Nothing was written to it. A peer must have
+        // accepted it first, so the reset does not prove that the process is down.
         ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted | ErrorKind::BrokenPipe => {
             EndReason::ResetBeforeUse
         }
--- a/node/src/net/exchanges/liveness.rs
+++ b/node/src/net/exchanges/liveness.rs
@@ -1,10 +1,10 @@
-//! What the connections to an exchange show of its process, and how they are renewed while it is silent.
+//! Liveness evidence from the connections to an exchange, and checks of a silent process.
 //!
-//! A check renews one idle connection: a new one is dialled, and the one that was silent for longest is closed in good
-//! order. Whether the new one comes up, and whether the exchange closes the old one in return, are the signs of life.
-//! No message is sent for it.
+//! A check replaces one idle connection: a new one is dialled, and the one without data for the longest time
+//! is closed gracefully. Two events count as signs of life: the new connection is established, and the
+//! exchange closes its side of the old one. A check sends no message.
 
-use super::{Exchanges, Link, Sent};
+use super::{Connection, Exchanges, SentSetUp};
 use crate::arena::Token;
 use crate::end::EndReason;
 use crate::engine::ConnectionRequest;
@@ -13,259 +13,287 @@
 use slateshed::ExchangeId;
 use std::time::Duration;
 
-/// A set-up given up after this time, with nothing heard on its connection since, makes that suspect. So does one after the
-/// shorter time, where nothing was heard of the process for the longer one.
-const SILENT: Duration = Duration::from_millis(750);
-const SILENT_FOR_ONE: Duration = Duration::from_millis(300);
-/// Whoever speaks first on a new connection does so within this time.
-const GREETS_WITHIN: Duration = Duration::from_millis(500);
-/// No exchange closes, resets or forgets a connection that has rested for less than this.
-const IN_USE: Duration = Duration::from_secs(3);
-/// Connections that are reset within this time of each other are reset at once.
-const AT_ONCE: Duration = Duration::from_millis(500);
-/// How long the peer has to close a connection that is closed on it, before that is looked at again.
-const CLOSES_WITHIN: Duration = Duration::from_secs(1);
-/// How long one to a silent process at which calls stand is kept for that.
-const CLOSES_AT_LAST: Duration = Duration::from_secs(8);
+/// A connection is suspected to be dead if a set-up on it is cancelled after at least this time without any
+/// data received on the connection.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
+/// The same, if there has been no sign of life of the process for [`SILENCE_TIMEOUT`].
+const SHORT_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+/// An exchange that sends the first message on new connections does so within this time.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// No exchange closes, resets or drops a connection that has been idle for less than this time.
+const MIN_PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Resets within this time of each other count as simultaneous.
+const SIMULTANEOUS_RESETS_INTERVAL: Duration = Duration::from_millis(500);
+/// Time that the peer has to close its side after this side has closed a connection; also the interval of later
+/// reviews.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time to wait for that close if the connection leads to a silent process with established calls.
+const MAX_CLOSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Exchanges {
-    /// Carries out what the engine wants of the connections to an exchange.
-    pub fn upkeep(&mut self, upkeep: ConnectionRequest, cx: &mut Context) {
-        match upkeep {
-            ConnectionRequest::Check(exchange, incarnation) => self.check(exchange, incarnation, cx),
+    /// Executes a request of the engine to the connections to an exchange.
+    pub fn handle_connection_request(&mut self, request: ConnectionRequest, cx: &mut Context) {
+        match request {
+            ConnectionRequest::Check(exchange, incarnation) => {
+                self.start_check(exchange, incarnation, cx)
+            }
             ConnectionRequest::Abandon(exchange, incarnation) => self.abandon(exchange, incarnation, cx),
         }
     }
 
-    /// Renews a connection to a process that has been silent. The only one there is is closed once another is up.
-    fn check(&mut self, exchange: ExchangeId, incarnation: Incarnation, cx: &mut Context) {
-        let several = self.up(exchange) > 1;
-        // Where set-ups are open on all, or none is up, these or the dials show as much.
-        let Some(oldest) = self.longest_silent(exchange, incarnation, cx) else {
+    /// Starts a check of a silent process: replaces one of its connections. If it has only one, that
+    /// connection is kept until another is established.
+    fn start_check(&mut self, exchange: ExchangeId, incarnation: Incarnation, cx: &mut Context) {
+        let several = self.connected_count(exchange) > 1;
+        // No check is needed without an idle connection: the unanswered set-ups or the dials give the same
+        // evidence.
+        let Some(old_connection) = self.longest_idle_connection(exchange, incarnation, cx) else {
             return;
         };
         let name = cx.engine.name(exchange);
         cx.log.line(cx.now, "exchange-checked", format_args!("exchange={name} several={several}"));
-        // One that rested may be forgotten, and one that is only assumed to lead there tells nothing of the process.
-        let is_conclusive =
-            self.links.get(oldest).is_some_and(|l| l.was_in_use(cx.now) && l.leads_to(incarnation, cx));
+        // The exchange may have dropped an idle connection, and a connection that is only assumed to lead to
+        // the process proves nothing about it.
+        let is_conclusive = self
+            .connections
+            .get(old_connection)
+            .is_some_and(|c| c.was_in_use(cx.now) && c.leads_to(incarnation, cx));
         cx.engine.check_started(cx.now, exchange, is_conclusive);
         if several {
-            self.close_in_good_order(oldest, cx);
+            self.close_gracefully(old_connection, cx);
         } else if let Some(peer) = self.peers.get_mut(&exchange) {
-            peer.renews = Some(incarnation);
+            peer.pending_check = Some(incarnation);
         }
-        self.refill(exchange, cx);
+        self.ensure_connections(exchange, cx);
     }
 
-    /// The connection to a process on which nothing is open and which was silent for longest; one that carries calls comes
-    /// late, as their ends are told there. Where none leads to that process for certain, it is assumed to be the one that
-    /// the others lead to.
-    fn longest_silent(
+    /// Selects the connection to a process that has no unanswered set-ups and has been without data for the
+    /// longest time. Connections with established calls rank lower, because the exchange sends the ends of
+    /// these calls there. If no connection is known to lead to that process, the others are assumed to lead
+    /// to it.
+    fn longest_idle_connection(
         &self,
         exchange: ExchangeId,
         incarnation: Incarnation,
         cx: &Context,
     ) -> Option<Token> {
         let peer = self.peers.get(&exchange)?;
-        let links = peer.links.iter().filter_map(|t| Some((*t, self.links.get(*t)?)));
-        links
-            .filter(|(_, l)| l.conn.is_connected() && l.open.is_empty())
-            .min_by_key(|(t, l)| {
-                (!l.leads_to(incarnation, cx), self.carries_calls(*t, cx), l.last_heard)
+        let connections = peer.connections.iter().filter_map(|t| Some((*t, self.connections.get(*t)?)));
+        connections
+            .filter(|(_, c)| c.socket.is_connected() && c.unanswered.is_empty())
+            .min_by_key(|(t, c)| {
+                (!c.leads_to(incarnation, cx), self.has_established_calls(*t, cx), c.last_received_at)
             })
             .map(|(token, _)| token)
     }
 
-    /// A connection has come up beside the only one. Of a process that closes in return, the old one is closed: that shows
-    /// whether it lives. Of any other, the new one has shown all that it can, unless the old one is in doubt.
-    pub(super) fn renewed(&mut self, token: Token, exchange: ExchangeId, cx: &mut Context) {
-        let Some(incarnation) = self.peers.get_mut(&exchange).and_then(|p| p.renews.take()) else {
+    /// Completes a check of a process with only one connection, once an additional connection is established.
+    /// If the exchange is known to close connections in response, the old one is closed, because the response
+    /// shows whether the process is alive. Otherwise the new one gives no further evidence and is closed,
+    /// unless the process is suspected to have failed.
+    pub(super) fn complete_check(&mut self, token: Token, exchange: ExchangeId, cx: &mut Context) {
+        let Some(incarnation) = self.peers.get_mut(&exchange).and_then(|p| p.pending_check.take())
+        else {
             return;
         };
-        let oldest = self.longest_silent(exchange, incarnation, cx).filter(|t| *t != token);
-        let Some(oldest) = oldest else {
+        let old_connection =
+            self.longest_idle_connection(exchange, incarnation, cx).filter(|t| *t != token);
+        let Some(old_connection) = old_connection else {
             return;
         };
         if cx.engine.closes_in_response(exchange) {
-            self.close_in_good_order(oldest, cx);
+            self.close_gracefully(old_connection, cx);
         } else if !cx.engine.is_suspected(exchange, incarnation) {
-            self.close_in_good_order(token, cx);
+            self.close_gracefully(token, cx);
         }
     }
 
-    /// Closes a connection on which nothing is open: no more is sent on it, and what the peer still sends is read until
-    /// it closes it as well.
-    pub(super) fn close_in_good_order(&mut self, token: Token, cx: &mut Context) {
-        let Some(link) = self.links.get_mut(token) else {
+    /// Closes a connection without unanswered set-ups gracefully: shuts down the send direction and reads on
+    /// until the peer closes its side.
+    pub(super) fn close_gracefully(&mut self, token: Token, cx: &mut Context) {
+        let Some(connection) = self.connections.get_mut(token) else {
             return;
         };
-        if !link.conn.is_connected() {
+        if !connection.socket.is_connected() {
             return self.end(token, EndReason::ClosedLocally, cx);
         }
-        if link.closing.is_some() {
+        if connection.closing_since.is_some() {
             return;
         }
-        link.closing = Some(cx.now);
-        link.conn.shutdown_write();
-        let exchange = link.exchange;
+        connection.closing_since = Some(cx.now);
+        connection.socket.shutdown_write();
+        let exchange = connection.exchange;
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            peer.links.retain(|t| *t != token);
+            peer.connections.retain(|t| *t != token);
         }
-        cx.timers.schedule(cx.now + CLOSES_WITHIN, TimerEvent::CloseTimeout(token));
+        cx.timers.schedule(cx.now + CLOSE_TIMEOUT, TimerEvent::CloseTimeout(token));
     }
 
-    /// The peer should have closed a connection by now. One that carries calls is kept until their ends are told, as a
-    /// peer that does not close it may tell them there. So is one to a process at which calls stand and that is silent,
-    /// for a while: that it is closed at last may be the only sign that this process lives.
-    pub fn closing_due(&mut self, token: Token, cx: &mut Context) {
-        let Some((link, since)) = self.links.get(token).and_then(|l| Some((l, l.closing?))) else {
+    /// Handles the timeout of a connection that the peer has not closed yet. A connection with established
+    /// calls is kept until they end, because a peer that does not close it may send their ends there. A
+    /// connection to a silent process with established calls is kept for up to `MAX_CLOSE_TIMEOUT`: a late
+    /// close by the peer may be the only sign that the process is alive.
+    pub fn close_timeout_due(&mut self, token: Token, cx: &mut Context) {
+        let Some((connection, closing_since)) =
+            self.connections.get(token).and_then(|c| Some((c, c.closing_since?)))
+        else {
             return;
         };
-        let exchange = link.exchange;
-        let is_witness = link.incarnation.is_some_and(|i| {
+        let exchange = connection.exchange;
+        let may_prove_liveness = connection.incarnation.is_some_and(|i| {
             cx.engine.has_calls_at(exchange, i)
-                && cx.engine.silent_for(cx.now, exchange, i) >= CLOSES_WITHIN
+                && cx.engine.silent_for(cx.now, exchange, i) >= CLOSE_TIMEOUT
         });
-        let is_needed = is_witness && cx.now < since + CLOSES_AT_LAST;
-        if is_needed || self.carries_calls(token, cx) {
-            cx.timers.schedule(cx.now + CLOSES_WITHIN, TimerEvent::CloseTimeout(token));
+        let is_needed = may_prove_liveness && cx.now < closing_since + MAX_CLOSE_TIMEOUT;
+        if is_needed || self.has_established_calls(token, cx) {
+            cx.timers.schedule(cx.now + CLOSE_TIMEOUT, TimerEvent::CloseTimeout(token));
         } else {
             self.end(token, EndReason::ClosedLocally, cx);
         }
     }
 
-    /// Whether calls stand whose set-ups went on a connection.
-    fn carries_calls(&self, token: Token, cx: &Context) -> bool {
-        self.attempts.iter().any(|(attempt, sent)| sent.link == token && cx.engine.is_answered(*attempt))
+    /// Whether any established call was set up on a connection.
+    fn has_established_calls(&self, token: Token, cx: &Context) -> bool {
+        self.attempts
+            .iter()
+            .any(|(attempt, sent)| sent.connection == token && cx.engine.is_answered(*attempt))
     }
 
-    /// Ends the connections to a process that is gone.
+    /// Ends the connections to a process that is considered dead.
     fn abandon(&mut self, exchange: ExchangeId, incarnation: Incarnation, cx: &mut Context) {
-        let of_it = |l: &Link| l.exchange == exchange && l.leads_to(incarnation, cx);
-        let gone: Vec<_> = self.links.iter().filter(|(_, l)| of_it(l)).map(|(t, _)| t).collect();
-        gone.into_iter().for_each(|token| self.end(token, EndReason::PeerSilent, cx));
-        self.refill(exchange, cx);
+        let leads_there = |c: &Connection| c.exchange == exchange && c.leads_to(incarnation, cx);
+        let abandoned: Vec<_> =
+            self.connections.iter().filter(|(_, c)| leads_there(c)).map(|(t, _)| t).collect();
+        abandoned.into_iter().for_each(|token| self.end(token, EndReason::PeerSilent, cx));
+        self.ensure_connections(exchange, cx);
     }
 
-    /// A connection has ended: what that shows of the process at its other end.
+    /// Records what the end of a connection indicates about the process at its other end.
     pub(super) fn observe_end(
         &mut self,
-        link: &Link,
-        was_listed: bool,
+        connection: &Connection,
+        was_active: bool,
         end: EndReason,
         cx: &mut Context,
     ) {
-        let (now, exchange) = (cx.now, link.exchange);
-        let Some(incarnation) = link.incarnation else {
-            if let Some(observation) = FailureSign::from_dial(end).filter(|_| was_listed) {
-                cx.engine.record_failure_sign(now, exchange, observation);
+        let (now, exchange) = (cx.now, connection.exchange);
+        let Some(incarnation) = connection.incarnation else {
+            if let Some(failure_sign) = FailureSign::from_dial(end).filter(|_| was_active) {
+                cx.engine.record_failure_sign(now, exchange, failure_sign);
             }
             return;
         };
         match end {
             EndReason::PeerClosed => {
-                cx.engine.peer_closed(now, exchange, incarnation, link.closing.is_some())
+                cx.engine.peer_closed(now, exchange, incarnation, connection.closing_since.is_some())
             }
-            EndReason::PeerSilent if link.was_in_use(link.missed_since) => {
+            EndReason::PeerSilent if connection.was_in_use(connection.missing_since) => {
                 cx.engine.record_failure_sign(now, exchange, FailureSign::MissedReports(incarnation));
             }
-            EndReason::ConnectionBroken if link.closing.is_none() => {
-                self.observe_reset(link, incarnation, cx)
+            EndReason::ConnectionBroken if connection.closing_since.is_none() => {
+                self.observe_reset(connection, incarnation, cx)
             }
             _ => {}
         }
     }
 
-    /// A process that dies resets all its connections at once. One alone may be reset on the way, and those on which
-    /// nothing has passed for a while by an exchange that rids itself of them.
-    fn observe_reset(&mut self, link: &Link, incarnation: Incarnation, cx: &mut Context) {
-        let exchange = link.exchange;
-        let was_in_use = !link.open.is_empty() || link.was_in_use(cx.now);
-        let is_left = self.links.iter().any(|(_, l)| {
-            l.exchange == exchange
-                && l.closing.is_none()
-                && l.incarnation.is_some_and(|o| cx.engine.is_same_process(exchange, o, incarnation))
+    /// Records a connection reset. The death of a process resets all its connections at once. The network may
+    /// reset a single connection, and a live exchange may reset idle connections.
+    fn observe_reset(&mut self, connection: &Connection, incarnation: Incarnation, cx: &mut Context) {
+        let exchange = connection.exchange;
+        let was_in_use = !connection.unanswered.is_empty() || connection.was_in_use(cx.now);
+        let has_others = self.connections.iter().any(|(_, c)| {
+            c.exchange == exchange
+                && c.closing_since.is_none()
+                && c.incarnation.is_some_and(|o| cx.engine.is_same_process(exchange, o, incarnation))
         });
         let Some(peer) = self.peers.get_mut(&exchange) else {
             return;
         };
-        if cx.now > peer.reset_at + AT_ONCE {
-            (peer.resets, peer.resets_in_use) = (0, false);
+        if cx.now > peer.last_reset_at + SIMULTANEOUS_RESETS_INTERVAL {
+            (peer.consecutive_resets, peer.any_reset_in_use) = (0, false);
         }
-        peer.resets += 1;
-        peer.reset_at = cx.now;
-        peer.resets_in_use |= was_in_use;
-        let is_all = !is_left && peer.resets > 1 && peer.resets_in_use;
-        let observation = if is_all { FailureSign::AllReset(incarnation) } else { FailureSign::Reset };
-        cx.engine.record_failure_sign(cx.now, exchange, observation);
+        peer.consecutive_resets += 1;
+        peer.last_reset_at = cx.now;
+        peer.any_reset_in_use |= was_in_use;
+        let is_all_reset = !has_others && peer.consecutive_resets > 1 && peer.any_reset_in_use;
+        let failure_sign =
+            if is_all_reset { FailureSign::AllReset(incarnation) } else { FailureSign::Reset };
+        cx.engine.record_failure_sign(cx.now, exchange, failure_sign);
     }
 
-    /// Bytes have arrived on a connection: the process at its other end lives.
+    /// Records received data: the process at the other end is alive.
     pub(super) fn observe_bytes(&mut self, token: Token, cx: &mut Context) {
-        let Some(link) = self.links.get_mut(token) else {
+        let Some(connection) = self.connections.get_mut(token) else {
             return;
         };
-        link.last_heard = cx.now;
-        let (exchange, incarnation) = (link.exchange, link.incarnation);
+        connection.last_received_at = cx.now;
+        let (exchange, incarnation) = (connection.exchange, connection.incarnation);
         if let Some(incarnation) = incarnation {
             cx.engine.record_activity(cx.now, exchange, incarnation);
         }
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            (peer.resets, peer.resets_in_use) = (0, false);
+            (peer.consecutive_resets, peer.any_reset_in_use) = (0, false);
         }
     }
 
-    /// The first message on a connection: whether the exchange speaks first on each.
-    pub(super) fn observe_first(&mut self, token: Token, verb: &str, cx: &mut Context) {
-        let Some(link) = self.links.get_mut(token).filter(|l| !l.heard) else {
+    /// Records the first message on a connection. A report within [`FIRST_MESSAGE_TIMEOUT`] shows that the
+    /// exchange sends the first message on each new connection.
+    pub(super) fn observe_first_message(&mut self, token: Token, verb: &str, cx: &mut Context) {
+        let Some(connection) = self.connections.get_mut(token).filter(|c| !c.has_received) else {
             return;
         };
-        link.heard = true;
-        let exchange = link.exchange;
-        if verb == "LOAD" && cx.now < link.up_since + GREETS_WITHIN {
+        connection.has_received = true;
+        let exchange = connection.exchange;
+        if verb == "LOAD" && cx.now < connection.connected_at + FIRST_MESSAGE_TIMEOUT {
             cx.engine.peer_spoke_first(exchange);
         }
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            peer.failures = 0;
+            peer.consecutive_failures = 0;
         }
     }
 
-    /// A set-up was given up. Nothing heard since it was sent: the machine may have vanished, and its connections would
-    /// stay open and silent. They are closed, and the next set-up goes on a new one.
-    pub(super) fn observe_unanswered(&mut self, sent: &Sent, cx: &mut Context) {
+    /// Handles the cancellation of an unanswered set-up. If nothing has been received since it was sent, the
+    /// host may be gone and its connections may be half-open. The silent ones are closed, so that the next
+    /// set-up is sent on a new one.
+    pub(super) fn observe_unanswered(&mut self, sent: &SentSetUp, cx: &mut Context) {
         let exchange = sent.exchange;
-        let Some(link) = self.links.get(sent.link) else {
+        let Some(connection) = self.connections.get(sent.connection) else {
             return;
         };
-        let incarnation = link.incarnation.unwrap_or_default();
-        let was_in_use = link.was_in_use(sent.at);
-        let is_silent = cx.engine.silent_for(cx.now, exchange, incarnation) >= SILENT;
-        let least = if is_silent { SILENT_FOR_ONE } else { SILENT };
-        let unheard = |l: &Link, at: Duration| l.last_heard < at && cx.now >= at + least;
-        let is_unheard = |t: Token, at| self.links.get(t).is_some_and(|l| unheard(l, at));
-        if !is_unheard(sent.link, sent.at) {
+        let incarnation = connection.incarnation.unwrap_or_default();
+        let was_in_use = connection.was_in_use(sent.sent_at);
+        let is_process_silent = cx.engine.silent_for(cx.now, exchange, incarnation) >= SILENCE_TIMEOUT;
+        let silence_timeout = if is_process_silent { SHORT_SILENCE_TIMEOUT } else { SILENCE_TIMEOUT };
+        let is_connection_silent =
+            |c: &Connection, at: Duration| c.last_received_at < at && cx.now >= at + silence_timeout;
+        let is_silent_since =
+            |t: Token, at| self.connections.get(t).is_some_and(|c| is_connection_silent(c, at));
+        if !is_silent_since(sent.connection, sent.sent_at) {
             return;
         }
-        let waiting = self.attempts.values().filter(|s| s.exchange == exchange);
-        let waiting = waiting.filter(|s| is_unheard(s.link, s.at)).count();
-        let links = self.peers.get(&exchange).map_or(Vec::new(), |p| p.links.clone());
-        let silent: Vec<_> = links.into_iter().filter(|t| is_unheard(*t, sent.at)).collect();
+        let unanswered = self.attempts.values().filter(|s| s.exchange == exchange);
+        let unanswered = unanswered.filter(|s| is_silent_since(s.connection, s.sent_at)).count();
+        let connections = self.peers.get(&exchange).map_or(Vec::new(), |p| p.connections.clone());
+        let silent_connections: Vec<_> =
+            connections.into_iter().filter(|t| is_silent_since(*t, sent.sent_at)).collect();
         let name = cx.engine.name(exchange);
-        let text = format_args!("exchange={name} call={} closes={}", sent.info.id, silent.len());
-        cx.log.line(cx.now, "exchange-silent", text);
-        let set_ups = waiting as u32 + 1;
-        let observation = match was_in_use {
+        let details =
+            format_args!("exchange={name} call={} closes={}", sent.info.id, silent_connections.len());
+        cx.log.line(cx.now, "exchange-silent", details);
+        let set_ups = unanswered as u32 + 1;
+        let failure_sign = match was_in_use {
             true => FailureSign::Unanswered(set_ups, incarnation),
             false => FailureSign::UnansweredAtRest(set_ups),
         };
-        cx.engine.record_failure_sign(cx.now, exchange, observation);
-        silent.into_iter().for_each(|token| self.retire(token, cx));
-        self.refill(exchange, cx);
+        cx.engine.record_failure_sign(cx.now, exchange, failure_sign);
+        silent_connections.into_iter().for_each(|token| self.drain_connection(token, cx));
+        self.ensure_connections(exchange, cx);
     }
 
-    /// A message that concerns a call that stands proves the process at which it stands, on whatever connection it comes.
-    pub(super) fn observe_call(&self, attempt: crate::engine::AttemptToken, cx: &mut Context) {
+    /// Records a message about an established call: it proves that the process of the call is alive,
+    /// regardless of the connection on which it arrives.
+    pub(super) fn observe_call_message(&self, attempt: crate::engine::AttemptToken, cx: &mut Context) {
         let exchange = self.attempts.get(&attempt).map(|s| s.exchange);
         if let Some((exchange, incarnation)) = exchange.zip(cx.engine.incarnation(attempt)) {
             cx.engine.record_activity(cx.now, exchange, incarnation);
@@ -273,13 +301,14 @@
     }
 }
 
-impl Link {
-    /// Whether it had been heard on lately at a time, so that the exchange can't have forgotten it by then.
+impl Connection {
+    /// Whether the last data before `at` is recent enough that the exchange cannot have dropped the idle
+    /// connection.
     pub(super) fn was_in_use(&self, at: Duration) -> bool {
-        at < self.last_heard + IN_USE
+        at < self.last_received_at + MIN_PEER_IDLE_TIMEOUT
     }
 
-    /// Whether it is known to lead to the process of an incarnation.
+    /// Whether the connection is known to lead to the process of an incarnation.
     fn leads_to(&self, incarnation: Incarnation, cx: &Context) -> bool {
         self.incarnation.is_some_and(|i| cx.engine.is_same_process(self.exchange, i, incarnation))
     }
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -1,10 +1,12 @@
-//! The exchanges' side of the platform's wire: few connections, kept open, since the state of a trunk
-//! group arrives unasked on them.
+//! Connections to exchanges, in the platform's JSON lines.
+//!
+//! A few connections to each exchange are kept open, because the exchange sends the state of its trunk group
+//! on them without a request.
 
 mod liveness;
 
 use super::conn::{dial_end_reason, Conn};
-use super::lines::{line, list_value, Message};
+use super::lines::{encode_message, list_value, Message};
 use super::{Context, SourceKind, TimerEvent};
 use crate::arena::{Arena, Token};
 use crate::config::Limits;
@@ -19,247 +21,276 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Wait before an exchange that could not be reached is dialled again without a call for it, and before a
-/// connection is replaced that ended with nothing heard on it while others are up. Each time in a row doubles it,
-/// up to the longest.
-const REDIAL: Duration = Duration::from_millis(250);
-const REPLACE: Duration = Duration::from_millis(50);
-const REDIAL_MOST: Duration = Duration::from_secs(2);
-
-/// A message is written at once: what is still not whole after this time has stopped short.
-const STOPPED_SHORT: Duration = Duration::from_millis(200);
-/// States of the group that the other connections to an exchange brought while one brought none: that one is
-/// silent. A report travels no longer on one than on the other.
-const MISSED: u32 = 3;
-/// And not before this time.
-const MISSED_FOR: Duration = Duration::from_millis(150);
-/// Connections on which an exchange tells the state of the group.
-const REPORTED_ON: usize = 4;
-/// Times that a set-up which never left goes on another connection.
-const MOVES: u32 = 3;
-/// Reads of a connection in one turn. What is left is read in the next, after all others have had theirs.
-const READS: usize = 16;
-/// Ids of set-ups given up on a connection that are kept in mind.
-const GIVEN_UP: usize = 16;
-/// How long a release waits for a connection, and how many do.
-const RELEASE_KEPT: Duration = Duration::from_secs(8);
-const MOST_UNSENT: usize = 1024;
-
+/// Delay before an unreachable exchange is dialled again when no call requires it. Each consecutive failure
+/// doubles the delay, up to [`MAX_REDIAL_DELAY`].
+const REDIAL_DELAY: Duration = Duration::from_millis(250);
+/// Delay before a connection is replaced that ended without any data received while others are established. It
+/// doubles in the same way.
+const REPLACE_DELAY: Duration = Duration::from_millis(50);
+/// Upper limit of both delays.
+const MAX_REDIAL_DELAY: Duration = Duration::from_secs(2);
+
+/// Time after which a partially received message counts as incomplete. Exchanges write each message at once.
+const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
+/// A connection counts as silent when each other connection to the same exchange has on average received this
+/// many reports of the trunk group's state and this one has received none. A report takes equally long on
+/// each connection.
+const MISSED_REPORTS_THRESHOLD: u32 = 3;
+/// Minimum time without data on the connection before missed reports count.
+const MISSED_REPORTS_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum number of connections on which one exchange reports the state of its trunk group.
+const MAX_REPORTING_CONNECTIONS: usize = 4;
+/// Maximum number of times that a set-up that was not fully written is reassigned to another connection.
+const MAX_REASSIGNMENTS: u32 = 3;
+/// Maximum number of reads from one connection in one iteration of the event loop. Remaining data is read in
+/// the next iteration, so that one busy connection does not starve the others.
+const MAX_READS_PER_ITERATION: usize = 16;
+/// Maximum number of ids of cancelled set-ups that are stored for each connection.
+const MAX_CANCELLED_IDS: usize = 16;
+/// Time after which a release that still waits for a connection is discarded.
+const PENDING_RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum number of releases that wait for a connection to one exchange.
+const MAX_PENDING_RELEASES: usize = 1024;
+
+/// State of one exchange.
 struct Peer {
     addr: SocketAddr,
     phase: Phase,
-    /// The connections that new set-ups go on, up or on their way.
-    links: Vec<Token>,
-    /// Connections in a row that ended with nothing heard.
-    failures: u32,
-    /// A redial is set already.
-    waiting: bool,
-    /// The only connection is renewed, as the process that it leads to is silent: one more is dialled beside it.
-    renews: Option<Incarnation>,
-    /// Connections that were reset in a row, with nothing heard between.
-    resets: u32,
-    /// One of them was in use.
-    resets_in_use: bool,
-    reset_at: Duration,
-    /// Releases of calls that stand, with no connection to go on yet.
-    unsent: Vec<(Duration, Vec<u8>)>,
+    /// Active connections, established or being dialled: those that accept new set-ups.
+    connections: Vec<Token>,
+    /// Number of consecutive connections that ended without any data received.
+    consecutive_failures: u32,
+    /// Whether a redial is already scheduled.
+    redial_scheduled: bool,
+    /// The incarnation under check, if it has only one connection. An additional connection is dialled before
+    /// that one is closed.
+    pending_check: Option<Incarnation>,
+    /// Number of consecutive connection resets without any data received in between.
+    consecutive_resets: u32,
+    /// Whether any of these connections was in use.
+    any_reset_in_use: bool,
+    last_reset_at: Duration,
+    /// Releases of established calls that wait for a connection, with their expiry times.
+    pending_releases: Vec<(Duration, Vec<u8>)>,
 }
 
-struct Link {
-    conn: Conn,
+/// One connection to an exchange.
+struct Connection {
+    socket: Conn,
     exchange: ExchangeId,
-    /// Set-ups on it that have no answer yet.
-    open: Vec<AttemptToken>,
-    last_heard: Duration,
-    /// When it came up, and the process that it leads to; none before.
-    up_since: Duration,
+    /// Unanswered set-ups on this connection.
+    unanswered: Vec<AttemptToken>,
+    last_received_at: Duration,
+    /// When the connection was established.
+    connected_at: Duration,
+    /// The process at the other end; `None` until the connection is established.
     incarnation: Option<Incarnation>,
-    /// Closed on this side since then: the peer is to close it as well.
-    closing: Option<Duration>,
-    /// Anything has been heard on it: the exchange speaks first on each new one.
-    heard: bool,
-    /// States of the group heard on others since the last on this.
-    missed: u32,
-    /// When the first of these came.
-    missed_since: Duration,
-    /// Since when a message has begun and is not whole.
-    part_since: Option<Duration>,
-    /// Ids of set-ups given up here of late: an answer that comes late is none to the next attempt.
-    given_up: VecDeque<String>,
-    /// Where the set-ups end in the stream that are not written whole.
-    unwritten: VecDeque<u64>,
+    /// When this side closed the connection; the peer has yet to close its side.
+    closing_since: Option<Duration>,
+    /// Whether any message has been received. The exchange sends the first message on each new connection.
+    has_received: bool,
+    /// Number of reports of the trunk group's state received on other connections since the last one on this
+    /// connection.
+    missed_reports: u32,
+    /// When the first of these reports was received.
+    missing_since: Duration,
+    /// Since when a message is partially received.
+    partial_since: Option<Duration>,
+    /// Ids of set-ups recently cancelled on this connection: a late answer to one of them must not be taken
+    /// for the answer to the next attempt of the same call.
+    cancelled_ids: VecDeque<String>,
+    /// End offsets in the stream of set-ups that are not fully written.
+    unwritten_ends: VecDeque<u64>,
 }
 
-struct Sent {
+/// A set-up assigned to a connection.
+struct SentSetUp {
     info: Rc<CallInfo>,
     exchange: ExchangeId,
-    link: Token,
-    at: Duration,
-    until: Duration,
-    /// Where it ends in the stream of its connection.
-    end_at: u64,
-    moves: u32,
+    connection: Token,
+    sent_at: Duration,
+    deadline: Duration,
+    /// End offset of the set-up in the stream of its connection.
+    end_offset: u64,
+    reassignments: u32,
 }
 
-/// All connections to exchanges and the attempts on them.
+/// All connections to exchanges, and the attempts on them.
 pub struct Exchanges {
     limits: Limits,
     peers: BTreeMap<ExchangeId, Peer>,
-    links: Arena<Link>,
-    attempts: HashMap<AttemptToken, Sent>,
+    connections: Arena<Connection>,
+    attempts: HashMap<AttemptToken, SentSetUp>,
     by_tag: HashMap<(ExchangeId, String), AttemptToken>,
-    doomed: Vec<(Token, EndReason)>,
-    /// Connections that had more to read than one turn allows.
+    /// Connections that [`Exchanges::reap`] ends.
+    connections_to_end: Vec<(Token, EndReason)>,
+    /// Connections with unread data left over from the last iteration.
     unread: Vec<Token>,
 }
 
-/// A set-up as it goes to an exchange.
-fn set_up(info: &CallInfo, wait: Duration) -> Vec<u8> {
+/// Encodes a set-up for an exchange.
+fn encode_set_up(info: &CallInfo, wait: Duration) -> Vec<u8> {
     let left = wait.as_millis().to_string();
     let opts = [("class", info.class.as_str()), ("key", &info.key), ("left", &left)];
-    line("START", &info.id, &opts, None, Some(&info.description))
+    encode_message("START", &info.id, &opts, None, Some(&info.description))
 }
 
 impl Exchanges {
-    /// No exchanges yet.
+    /// Creates the state without any exchanges.
     pub fn new(limits: Limits) -> Self {
         Exchanges {
             limits,
             peers: BTreeMap::new(),
-            links: Arena::default(),
+            connections: Arena::default(),
             attempts: HashMap::new(),
             by_tag: HashMap::new(),
-            doomed: Vec::new(),
+            connections_to_end: Vec::new(),
             unread: Vec::new(),
         }
     }
 
-    /// Whether an attempt went out here.
+    /// Whether an attempt was sent on one of these connections.
     pub fn owns(&self, attempt: AttemptToken) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
-    /// Whether all that was sent has been written to the connections that are up.
+    /// Whether the send buffers of all established connections are empty.
     pub fn is_flushed(&self) -> bool {
-        self.links.iter().all(|(_, l)| !l.conn.is_connected() || l.conn.is_flushed())
+        self.connections.iter().all(|(_, c)| !c.socket.is_connected() || c.socket.is_flushed())
     }
 
-    /// The list has named an exchange, or has news of it. One that is gone is not known here any longer.
+    /// Applies an entry of the exchange list. An exchange that is gone is removed.
     pub fn listed(&mut self, exchange: ExchangeId, addr: SocketAddr, phase: Phase, cx: &mut Context) {
         if phase == Phase::Gone {
-            return self.gone(exchange, cx);
+            return self.remove_exchange(exchange, cx);
         }
         let peer = self.peers.entry(exchange).or_insert_with(|| Peer {
             addr,
             phase,
-            links: Vec::new(),
-            failures: 0,
-            waiting: false,
-            renews: None,
-            resets: 0,
-            resets_in_use: false,
-            reset_at: Duration::ZERO,
-            unsent: Vec::new(),
+            connections: Vec::new(),
+            consecutive_failures: 0,
+            redial_scheduled: false,
+            pending_check: None,
+            consecutive_resets: 0,
+            any_reset_in_use: false,
+            last_reset_at: Duration::ZERO,
+            pending_releases: Vec::new(),
         });
         peer.phase = phase;
-        (peer.failures, peer.waiting) = (0, false);
-        let moved = peer.addr != addr;
+        (peer.consecutive_failures, peer.redial_scheduled) = (0, false);
+        let address_changed = peer.addr != addr;
         peer.addr = addr;
-        if moved {
-            self.retire_all(exchange, cx);
+        if address_changed {
+            self.drain_all_connections(exchange, cx);
         }
-        if moved || phase != Phase::InService {
-            self.drop_unsent(exchange, cx);
+        if address_changed || phase != Phase::InService {
+            self.close_unconnected(exchange, cx);
         }
-        self.refill(exchange, cx);
+        self.ensure_connections(exchange, cx);
     }
 
-    /// Ends the connections to an exchange that are not up. What waits on one would go out as soon as it is,
-    /// long after the exchange was said to drain or to have moved.
-    fn drop_unsent(&mut self, exchange: ExchangeId, cx: &mut Context) {
-        let late = self.links.iter().filter(|(_, l)| l.exchange == exchange && !l.conn.is_connected());
-        let late: Vec<_> = late.map(|(token, _)| token).collect();
-        late.into_iter().for_each(|token| self.end(token, EndReason::ClosedLocally, cx));
+    /// Ends the connections to an exchange that are not established yet. Set-ups queued on one would be sent
+    /// once it is established, long after the list reported that the exchange drains or has another address.
+    fn close_unconnected(&mut self, exchange: ExchangeId, cx: &mut Context) {
+        let unconnected =
+            self.connections.iter().filter(|(_, c)| c.exchange == exchange && !c.socket.is_connected());
+        let unconnected: Vec<_> = unconnected.map(|(token, _)| token).collect();
+        unconnected.into_iter().for_each(|token| self.end(token, EndReason::ClosedLocally, cx));
     }
 
-    /// Exchanges that the whole list lacks are gone.
-    pub fn keep_only(&mut self, named: &[ExchangeId], cx: &mut Context) {
-        let gone: Vec<_> = self.peers.keys().filter(|e| !named.contains(e)).copied().collect();
-        gone.into_iter().for_each(|exchange| self.gone(exchange, cx));
+    /// Removes the exchanges that a full list does not contain.
+    pub fn remove_unlisted(&mut self, listed_exchanges: &[ExchangeId], cx: &mut Context) {
+        let unlisted: Vec<_> =
+            self.peers.keys().filter(|e| !listed_exchanges.contains(e)).copied().collect();
+        unlisted.into_iter().for_each(|exchange| self.remove_exchange(exchange, cx));
     }
 
-    fn gone(&mut self, exchange: ExchangeId, cx: &mut Context) {
-        self.retire_all(exchange, cx);
+    fn remove_exchange(&mut self, exchange: ExchangeId, cx: &mut Context) {
+        self.drain_all_connections(exchange, cx);
         self.peers.remove(&exchange);
-        self.drop_unsent(exchange, cx);
+        self.close_unconnected(exchange, cx);
     }
 
-    /// No new set-up goes on a connection; it is closed once none is open on it.
-    fn retire(&mut self, token: Token, cx: &mut Context) {
-        if let Some(peer) = self.links.get(token).and_then(|l| self.peers.get_mut(&l.exchange)) {
-            peer.links.retain(|t| *t != token);
+    /// Assigns no more set-ups to a connection, and closes it once no set-up on it is unanswered.
+    fn drain_connection(&mut self, token: Token, cx: &mut Context) {
+        if let Some(peer) = self.connections.get(token).and_then(|c| self.peers.get_mut(&c.exchange)) {
+            peer.connections.retain(|t| *t != token);
         }
-        self.close_if_done(token, cx);
+        self.close_if_drained(token, cx);
     }
 
-    fn retire_all(&mut self, exchange: ExchangeId, cx: &mut Context) {
-        let links = self.peers.get(&exchange).map_or(Vec::new(), |p| p.links.clone());
-        links.into_iter().for_each(|token| self.retire(token, cx));
+    fn drain_all_connections(&mut self, exchange: ExchangeId, cx: &mut Context) {
+        let connections = self.peers.get(&exchange).map_or(Vec::new(), |p| p.connections.clone());
+        connections.into_iter().for_each(|token| self.drain_connection(token, cx));
     }
 
-    fn close_if_done(&mut self, token: Token, cx: &mut Context) {
-        let Some(link) = self.links.get(token).filter(|l| l.open.is_empty()) else {
+    fn close_if_drained(&mut self, token: Token, cx: &mut Context) {
+        let Some(connection) = self.connections.get(token).filter(|c| c.unanswered.is_empty()) else {
             return;
         };
-        if self.peers.get(&link.exchange).is_none_or(|p| !p.links.contains(&token)) {
-            self.close_in_good_order(token, cx);
+        if self.peers.get(&connection.exchange).is_none_or(|p| !p.connections.contains(&token)) {
+            self.close_gracefully(token, cx);
         }
     }
 
-    /// Whether a connection to an exchange is up, and how many are.
-    fn up(&self, exchange: ExchangeId) -> usize {
-        let links = self.peers.get(&exchange).map_or(&[][..], |p| &p.links);
-        links.iter().filter(|t| self.links.get(**t).is_some_and(|l| l.conn.is_connected())).count()
+    /// Number of established active connections to an exchange.
+    fn connected_count(&self, exchange: ExchangeId) -> usize {
+        let connections = self.peers.get(&exchange).map_or(&[][..], |p| &p.connections);
+        connections
+            .iter()
+            .filter(|t| self.connections.get(**t).is_some_and(|c| c.socket.is_connected()))
+            .count()
     }
 
-    /// Whether a connection is up and not about to be closed.
+    /// Whether a connection is established and not being closed.
     fn is_usable(&self, token: &Token) -> bool {
-        self.links.get(*token).is_some_and(|l| l.conn.is_connected() && l.closing.is_none())
+        self.connections
+            .get(*token)
+            .is_some_and(|c| c.socket.is_connected() && c.closing_since.is_none())
     }
 
-    /// Makes sure that a connection is up or on its way, and several where one is up and set-ups may come. While
-    /// none is, one at a time is tried.
-    fn refill(&mut self, exchange: ExchangeId, cx: &mut Context) {
+    /// Dials the missing connections to an exchange. Without an established connection, one is dialled at a
+    /// time. Once one is established, several are kept to an exchange that is in service.
+    fn ensure_connections(&mut self, exchange: ExchangeId, cx: &mut Context) {
         loop {
             let Some(peer) = self.peers.get(&exchange) else {
                 return;
             };
-            let several = peer.phase == Phase::InService && self.up(exchange) > 0;
-            let want = if several { self.limits.connections_per_exchange() } else { 1 };
-            let want = want + usize::from(peer.renews.is_some());
-            if peer.waiting || peer.links.len() >= want || self.dial(exchange, cx).is_none() {
+            let wants_several = peer.phase == Phase::InService && self.connected_count(exchange) > 0;
+            let target_count = if wants_several { self.limits.connections_per_exchange() } else { 1 };
+            let target_count = target_count + usize::from(peer.pending_check.is_some());
+            if peer.redial_scheduled
+                || peer.connections.len() >= target_count
+                || self.dial(exchange, cx).is_none()
+            {
                 return;
             }
         }
     }
 
-    /// The connection for a new set-up: of those that the exchange has spoken on, the one with the fewest
-    /// set-ups open; else one that is up; else one on its way. One on which the same call was given up before
-    /// comes last, since the answer to that may still come there.
-    fn pick(&mut self, exchange: ExchangeId, id: &str, cx: &mut Context) -> Option<Token> {
+    /// Selects the connection for a new set-up: among those with messages received, the one with the fewest
+    /// unanswered set-ups; otherwise an established one; otherwise one that is being dialled. Connections to
+    /// a superseded process rank lower. A connection with a partially received message ranks last, and so
+    /// does one on which the same call was cancelled before, because the answer to that attempt may still
+    /// arrive there.
+    fn pick_connection(&mut self, exchange: ExchangeId, id: &str, cx: &mut Context) -> Option<Token> {
         let peer = self.peers.get(&exchange)?;
-        let links = peer.links.iter().filter_map(|t| Some((*t, self.links.get(*t)?)));
-        let spoilt = |l: &Link| l.part_since.is_some() || l.given_up.iter().any(|g| g == id);
-        let followed = |l: &Link| l.incarnation.is_some_and(|i| cx.engine.has_newer(exchange, i));
-        let rank = |l: &Link| (spoilt(l), followed(l), !l.heard, !l.conn.is_connected(), l.open.len());
-        let best = links.min_by_key(|(_, l)| rank(l)).map(|(token, _)| token);
-        best.or_else(|| self.dial(exchange, cx))
+        let connections = peer.connections.iter().filter_map(|t| Some((*t, self.connections.get(*t)?)));
+        let avoided =
+            |c: &Connection| c.partial_since.is_some() || c.cancelled_ids.iter().any(|g| g == id);
+        let superseded =
+            |c: &Connection| c.incarnation.is_some_and(|i| cx.engine.has_newer(exchange, i));
+        let rank = |c: &Connection| {
+            (avoided(c), superseded(c), !c.has_received, !c.socket.is_connected(), c.unanswered.len())
+        };
+        let selected = connections.min_by_key(|(_, c)| rank(c)).map(|(token, _)| token);
+        selected.or_else(|| self.dial(exchange, cx))
     }
 
-    /// Begins a connection.
+    /// Dials an exchange.
     fn dial(&mut self, exchange: ExchangeId, cx: &mut Context) -> Option<Token> {
         let addr = self.peers.get(&exchange)?.addr;
-        let failed = |cx: &mut Context, end: EndReason| {
+        let log_failure = |cx: &mut Context, end: EndReason| {
             let name = cx.engine.name(exchange);
             cx.log.line(cx.now, "exchange-unreachable", format_args!("{name}: {end}"));
         };
@@ -267,203 +298,227 @@
             Ok(stream) => stream,
             Err(e) => {
                 let end = dial_end_reason(e.kind());
-                failed(cx, end);
-                if let Some(observation) = FailureSign::from_dial(end) {
-                    cx.engine.record_failure_sign(cx.now, exchange, observation);
+                log_failure(cx, end);
+                if let Some(failure_sign) = FailureSign::from_dial(end) {
+                    cx.engine.record_failure_sign(cx.now, exchange, failure_sign);
                 }
-                self.redial(exchange, cx);
+                self.schedule_redial(exchange, cx);
                 return None;
             }
         };
-        let (registry, now, bounds) = (cx.registry, cx.now, self.limits.exchange_buffer_limits());
+        let (registry, now, buffer_limits) = (cx.registry, cx.now, self.limits.exchange_buffer_limits());
         let mut registered = Ok(());
-        let token = self.links.insert_with(|token| {
-            let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, SourceKind::Exchange.token(token), both);
-            Link {
-                conn: Conn::new(stream, bounds, false),
+        let token = self.connections.insert_with(|token| {
+            let interests = Interest::READABLE | Interest::WRITABLE;
+            registered = registry.register(&mut stream, SourceKind::Exchange.token(token), interests);
+            Connection {
+                socket: Conn::new(stream, buffer_limits, false),
                 exchange,
-                open: Vec::new(),
-                last_heard: now,
-                up_since: now,
+                unanswered: Vec::new(),
+                last_received_at: now,
+                connected_at: now,
                 incarnation: None,
-                closing: None,
-                heard: false,
-                missed: 0,
-                missed_since: now,
-                part_since: None,
-                given_up: VecDeque::new(),
-                unwritten: VecDeque::new(),
+                closing_since: None,
+                has_received: false,
+                missed_reports: 0,
+                missing_since: now,
+                partial_since: None,
+                cancelled_ids: VecDeque::new(),
+                unwritten_ends: VecDeque::new(),
             }
         });
         if registered.is_err() {
-            self.links.remove(token);
-            failed(cx, EndReason::NoSocket);
-            self.redial(exchange, cx);
+            self.connections.remove(token);
+            log_failure(cx, EndReason::NoSocket);
+            self.schedule_redial(exchange, cx);
             return None;
         }
-        self.peers.get_mut(&exchange)?.links.push(token);
+        self.peers.get_mut(&exchange)?.connections.push(token);
         cx.timers.schedule(now + cx.dial_timeout, TimerEvent::DialTimeout(token));
         Some(token)
     }
 
-    fn redial(&mut self, exchange: ExchangeId, cx: &mut Context) {
-        let up = self.up(exchange) > 0;
-        if let Some(peer) = self.peers.get_mut(&exchange).filter(|p| !p.waiting) {
-            peer.waiting = true;
-            let first = if up { REPLACE } else { REDIAL };
-            let wait = (first * (1 << peer.failures.min(6))).min(REDIAL_MOST);
-            peer.failures += 1;
+    fn schedule_redial(&mut self, exchange: ExchangeId, cx: &mut Context) {
+        let is_any_connected = self.connected_count(exchange) > 0;
+        if let Some(peer) = self.peers.get_mut(&exchange).filter(|p| !p.redial_scheduled) {
+            peer.redial_scheduled = true;
+            let initial_delay = if is_any_connected { REPLACE_DELAY } else { REDIAL_DELAY };
+            let wait = (initial_delay * (1 << peer.consecutive_failures.min(6))).min(MAX_REDIAL_DELAY);
+            peer.consecutive_failures += 1;
             cx.timers.schedule(cx.now + wait, TimerEvent::Redial(exchange));
         }
     }
 
-    /// A redial is due.
+    /// Handles the redial timer.
     pub fn redial_due(&mut self, exchange: ExchangeId, cx: &mut Context) {
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            peer.waiting = false;
-            self.refill(exchange, cx);
+            peer.redial_scheduled = false;
+            self.ensure_connections(exchange, cx);
         }
     }
 
-    /// A connection should have come up by now.
-    pub fn dial_due(&mut self, token: Token, cx: &mut Context) {
-        if self.links.get(token).is_some_and(|l| !l.conn.is_connected()) {
+    /// Handles the dial timeout: ends the connection if it is not established.
+    pub fn dial_timeout_due(&mut self, token: Token, cx: &mut Context) {
+        if self.connections.get(token).is_some_and(|c| !c.socket.is_connected()) {
             self.end(token, EndReason::DialTimedOut, cx);
         }
     }
 
-    /// A message should have got whole by now.
-    pub fn part_due(&mut self, token: Token, cx: &mut Context) {
-        match self.links.get(token).and_then(|l| l.part_since) {
-            Some(since) if cx.now >= since + STOPPED_SHORT => {
+    /// Handles the timeout of a partially received message.
+    pub fn partial_message_due(&mut self, token: Token, cx: &mut Context) {
+        match self.connections.get(token).and_then(|c| c.partial_since) {
+            Some(since) if cx.now >= since + PARTIAL_MESSAGE_TIMEOUT => {
                 self.end(token, EndReason::MessageIncomplete, cx)
             }
-            Some(since) => cx.timers.schedule(since + STOPPED_SHORT, TimerEvent::PartialMessage(token)),
+            Some(since) => {
+                cx.timers.schedule(since + PARTIAL_MESSAGE_TIMEOUT, TimerEvent::PartialMessage(token))
+            }
             None => {}
         }
     }
 
-    /// Carries out a command for an exchange.
+    /// Executes a command for an exchange.
     pub fn command(&mut self, command: Command, cx: &mut Context) {
         match command {
             Command::SetUp { attempt, exchange, info, wait } => {
-                let until = cx.now + wait;
-                self.start(attempt, exchange, info, (cx.now, until), 0, cx);
+                let deadline = cx.now + wait;
+                self.send_set_up(attempt, exchange, info, (cx.now, deadline), 0, cx);
             }
             Command::CancelAttempt(attempt) => {
-                let Some(sent) = self.forget(attempt) else {
+                let Some(sent) = self.remove_attempt(attempt) else {
                     return;
                 };
-                if self.links.get(sent.link).is_some_and(|l| !l.conn.is_connected()) {
-                    // It would go out once the connection is up, when the call may be elsewhere.
-                    return self.end(sent.link, EndReason::ClosedLocally, cx);
+                if self.connections.get(sent.connection).is_some_and(|c| !c.socket.is_connected()) {
+                    // Otherwise the set-up would be sent once the connection is established, when another
+                    // exchange may have the call.
+                    return self.end(sent.connection, EndReason::ClosedLocally, cx);
                 }
-                if let Some(link) = self.links.get_mut(sent.link) {
-                    link.given_up.truncate(GIVEN_UP - 1);
-                    link.given_up.push_front(sent.info.id.clone());
+                if let Some(connection) = self.connections.get_mut(sent.connection) {
+                    connection.cancelled_ids.truncate(MAX_CANCELLED_IDS - 1);
+                    connection.cancelled_ids.push_front(sent.info.id.clone());
                 }
-                self.send(sent.link, &line("FINISH", &sent.info.id, &[], Some(16), None));
+                self.send(
+                    sent.connection,
+                    &encode_message("FINISH", &sent.info.id, &[], Some(16), None),
+                );
                 self.observe_unanswered(&sent, cx);
-                self.close_if_done(sent.link, cx);
+                self.close_if_drained(sent.connection, cx);
             }
             Command::ReleaseExchange(attempt, cause) => {
-                let Some(sent) = self.forget(attempt) else {
+                let Some(sent) = self.remove_attempt(attempt) else {
                     return;
                 };
                 let rc = if cause == ReleaseCause::Normal { 16 } else { 41 };
-                let release = line("FINISH", &sent.info.id, &[], Some(rc), None);
-                let on = Some(sent.link).filter(|t| self.is_usable(t));
-                let on = on.or_else(|| self.pick(sent.exchange, "", cx)).filter(|t| self.is_usable(t));
-                match on {
+                let release = encode_message("FINISH", &sent.info.id, &[], Some(rc), None);
+                let target = Some(sent.connection).filter(|t| self.is_usable(t));
+                let target = target
+                    .or_else(|| self.pick_connection(sent.exchange, "", cx))
+                    .filter(|t| self.is_usable(t));
+                match target {
                     Some(token) => self.send(token, &release),
                     None => {
                         if let Some(peer) = self.peers.get_mut(&sent.exchange) {
-                            if peer.unsent.len() < MOST_UNSENT {
-                                peer.unsent.push((cx.now + RELEASE_KEPT, release));
+                            if peer.pending_releases.len() < MAX_PENDING_RELEASES {
+                                peer.pending_releases.push((cx.now + PENDING_RELEASE_TIMEOUT, release));
                             }
                         }
                     }
                 }
             }
-            Command::ForgetAttempt(attempt) => drop(self.forget(attempt)),
+            Command::ForgetAttempt(attempt) => drop(self.remove_attempt(attempt)),
             _ => {}
         }
     }
 
-    /// Sends a set-up, for the first time or again because it never left.
-    fn start(
+    /// Sends a set-up, for the first time or again because it was not fully written before.
+    fn send_set_up(
         &mut self,
         attempt: AttemptToken,
         exchange: ExchangeId,
         info: Rc<CallInfo>,
-        (at, until): (Duration, Duration),
-        moves: u32,
+        (sent_at, deadline): (Duration, Duration),
+        reassignments: u32,
         cx: &mut Context,
     ) {
-        let Some(token) = self.pick(exchange, &info.id, cx) else {
+        let Some(token) = self.pick_connection(exchange, &info.id, cx) else {
             return cx.engine.attempt_ended(cx.now, attempt, EndReason::NoSocket, cx.timers);
         };
-        let bytes = set_up(&info, until.saturating_sub(cx.now));
+        let bytes = encode_set_up(&info, deadline.saturating_sub(cx.now));
         self.by_tag.insert((exchange, info.id.clone()), attempt);
-        let end_at = self.links.get(token).map_or(0, |l| l.conn.sent()) + bytes.len() as u64;
-        self.attempts.insert(attempt, Sent { info, exchange, link: token, at, until, end_at, moves });
-        if let Some(link) = self.links.get_mut(token) {
-            link.open.push(attempt);
-            link.unwritten.push_back(end_at);
+        let end_offset =
+            self.connections.get(token).map_or(0, |c| c.socket.bytes_queued()) + bytes.len() as u64;
+        self.attempts.insert(
+            attempt,
+            SentSetUp {
+                info,
+                exchange,
+                connection: token,
+                sent_at,
+                deadline,
+                end_offset,
+                reassignments,
+            },
+        );
+        if let Some(connection) = self.connections.get_mut(token) {
+            connection.unanswered.push(attempt);
+            connection.unwritten_ends.push_back(end_offset);
         }
         self.send(token, &bytes);
         self.count_written(token, cx);
     }
 
-    /// Counts the set-ups of a connection that have been written whole.
+    /// Counts the set-ups of a connection that are fully written.
     fn count_written(&mut self, token: Token, cx: &mut Context) {
-        if let Some(link) = self.links.get_mut(token) {
-            let written = link.unwritten.iter().take_while(|end| link.conn.has_written(**end)).count();
-            link.unwritten.drain(..written);
+        if let Some(connection) = self.connections.get_mut(token) {
+            let written = connection
+                .unwritten_ends
+                .iter()
+                .take_while(|end| connection.socket.has_written(**end))
+                .count();
+            connection.unwritten_ends.drain(..written);
             cx.engine.count_forwards(written as u64);
         }
     }
 
-    /// Forgets an attempt that is over.
-    fn forget(&mut self, attempt: AttemptToken) -> Option<Sent> {
+    /// Removes an attempt that has ended.
+    fn remove_attempt(&mut self, attempt: AttemptToken) -> Option<SentSetUp> {
         let sent = self.attempts.remove(&attempt)?;
-        // The call may have gone to the same exchange again since.
+        // A later attempt of the same call at the same exchange may have replaced this entry.
         let key = (sent.exchange, sent.info.id.clone());
         if self.by_tag.get(&key) == Some(&attempt) {
             self.by_tag.remove(&key);
         }
-        self.no_longer_open(sent.link, attempt);
+        self.remove_unanswered(sent.connection, attempt);
         Some(sent)
     }
 
-    fn no_longer_open(&mut self, link: Token, attempt: AttemptToken) {
-        if let Some(link) = self.links.get_mut(link) {
-            link.open.retain(|a| *a != attempt);
+    fn remove_unanswered(&mut self, connection: Token, attempt: AttemptToken) {
+        if let Some(connection) = self.connections.get_mut(connection) {
+            connection.unanswered.retain(|a| *a != attempt);
         }
     }
 
     fn send(&mut self, token: Token, bytes: &[u8]) {
-        if let Some(link) = self.links.get_mut(token) {
-            if let Err(end) = link.conn.send(bytes) {
-                self.doomed.push((token, end));
+        if let Some(connection) = self.connections.get_mut(token) {
+            if let Err(end) = connection.socket.send(bytes) {
+                self.connections_to_end.push((token, end));
             }
         }
     }
 
-    /// A connection can be read or written, or has come up.
+    /// Handles an event on a connection: readable, writable or established.
     pub fn ready(&mut self, token: Token, cx: &mut Context) {
         if let Err(end) = self.read(token, cx) {
             self.end(token, end, cx);
         }
     }
 
-    /// Whether a connection has more to read than its last turn allowed.
+    /// Whether a connection has unread data left over from the last iteration.
     pub fn has_unread(&self) -> bool {
         !self.unread.is_empty()
     }
 
-    /// Reads on where the last turn left off.
+    /// Reads the data left over from the last iteration.
     pub fn read_on(&mut self, cx: &mut Context) {
         for token in std::mem::take(&mut self.unread) {
             self.ready(token, cx);
@@ -471,40 +526,45 @@
     }
 
     fn read(&mut self, token: Token, cx: &mut Context) -> Result<(), EndReason> {
-        for _ in 0..READS {
-            let Some(link) = self.links.get_mut(token) else {
+        for _ in 0..MAX_READS_PER_ITERATION {
+            let Some(connection) = self.connections.get_mut(token) else {
                 return Ok(());
             };
-            if !link.conn.is_connected() {
-                if !link.conn.check_connected()? {
+            if !connection.socket.is_connected() {
+                if !connection.socket.check_connected()? {
                     return Ok(());
                 }
-                self.came_up(token, cx);
+                self.on_connected(token, cx);
             }
-            let Some(link) = self.links.get_mut(token) else {
+            let Some(connection) = self.connections.get_mut(token) else {
                 return Ok(());
             };
-            link.conn.flush()?;
+            connection.socket.flush()?;
             self.count_written(token, cx);
-            let Some(link) = self.links.get_mut(token) else {
+            let Some(connection) = self.connections.get_mut(token) else {
                 return Ok(());
             };
-            let read = link.conn.fill();
+            let read = connection.socket.fill();
             if matches!(read, Ok(n) if n > 0) {
                 self.observe_bytes(token, cx);
             }
-            while let Some(text) = self.links.get_mut(token).map_or(Ok(None), |l| l.conn.next_line())? {
-                if let Some(link) = self.links.get_mut(token) {
-                    link.part_since = None;
+            while let Some(text) =
+                self.connections.get_mut(token).map_or(Ok(None), |c| c.socket.next_line())?
+            {
+                if let Some(connection) = self.connections.get_mut(token) {
+                    connection.partial_since = None;
                 }
                 if !text.is_empty() {
                     self.message(token, Message::parse(&text)?, cx)?;
                 }
             }
-            if let Some(link) = self.links.get_mut(token).filter(|l| l.conn.has_partial_line()) {
-                if link.part_since.is_none() {
-                    link.part_since = Some(cx.now);
-                    cx.timers.schedule(cx.now + STOPPED_SHORT, TimerEvent::PartialMessage(token));
+            if let Some(connection) =
+                self.connections.get_mut(token).filter(|c| c.socket.has_partial_line())
+            {
+                if connection.partial_since.is_none() {
+                    connection.partial_since = Some(cx.now);
+                    cx.timers
+                        .schedule(cx.now + PARTIAL_MESSAGE_TIMEOUT, TimerEvent::PartialMessage(token));
                 }
             }
             if read? == 0 {
@@ -515,78 +575,83 @@
         Ok(())
     }
 
-    /// A connection has come up: what waited for one goes out, and more are dialled beside it.
-    fn came_up(&mut self, token: Token, cx: &mut Context) {
-        let Some(link) = self.links.get_mut(token) else {
+    /// Handles an established connection: sends the pending releases and dials the missing connections.
+    fn on_connected(&mut self, token: Token, cx: &mut Context) {
+        let Some(connection) = self.connections.get_mut(token) else {
             return;
         };
-        let exchange = link.exchange;
-        link.up_since = cx.now;
-        link.incarnation = Some(cx.engine.connected(cx.now, exchange));
+        let exchange = connection.exchange;
+        connection.connected_at = cx.now;
+        connection.incarnation = Some(cx.engine.connected(cx.now, exchange));
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            for (until, release) in std::mem::take(&mut peer.unsent) {
-                if until > cx.now {
+            for (deadline, release) in std::mem::take(&mut peer.pending_releases) {
+                if deadline > cx.now {
                     self.send(token, &release);
                 }
             }
         }
-        self.renewed(token, exchange, cx);
-        self.refill(exchange, cx);
-    }
-
-    /// One connection has brought the state of the group. Another to the same exchange that has brought none
-    /// for several of these is open and silent: what is on it would wait in vain, and where it is the older one, it may
-    /// lead to another process.
-    fn reported(&mut self, token: Token, exchange: ExchangeId, cx: &mut Context) {
-        let held = self.links.iter().filter(|(_, l)| l.exchange == exchange).count();
-        let reporter = self.links.get(token).and_then(|l| l.incarnation);
-        let most_missed = MISSED * (held as u32 - 1);
-        let others = self.links.iter_mut().filter(|(_, l)| l.exchange == exchange && l.heard);
-        for (other, link) in others {
-            if link.missed == 0 {
-                link.missed_since = cx.now;
+        self.complete_check(token, exchange, cx);
+        self.ensure_connections(exchange, cx);
+    }
+
+    /// Handles a report of the trunk group's state: detects the other connections to the same exchange that
+    /// have missed several reports. Such a connection is open but silent, and set-ups on it would stay
+    /// unanswered. If it is older than the reporting connection, it may lead to another process.
+    fn check_missed_reports(&mut self, token: Token, exchange: ExchangeId, cx: &mut Context) {
+        let connection_count = self.connections.iter().filter(|(_, c)| c.exchange == exchange).count();
+        let reporter = self.connections.get(token).and_then(|c| c.incarnation);
+        let threshold = MISSED_REPORTS_THRESHOLD * (connection_count as u32 - 1);
+        let others =
+            self.connections.iter_mut().filter(|(_, c)| c.exchange == exchange && c.has_received);
+        for (other, connection) in others {
+            if connection.missed_reports == 0 {
+                connection.missing_since = cx.now;
             }
-            link.missed = if other == token { 0 } else { link.missed + 1 };
-            if link.missed < most_missed || cx.now < link.last_heard + MISSED_FOR {
+            connection.missed_reports = if other == token { 0 } else { connection.missed_reports + 1 };
+            if connection.missed_reports < threshold
+                || cx.now < connection.last_received_at + MISSED_REPORTS_TIMEOUT
+            {
                 continue;
             }
-            // What is being closed may still be closed in return, or bring the end of a call.
-            if held <= REPORTED_ON && link.closing.is_none() {
-                self.doomed.push((other, EndReason::PeerSilent));
+            // The peer may still close a connection that is being closed here, or send the end of a call on it.
+            if connection_count <= MAX_REPORTING_CONNECTIONS && connection.closing_since.is_none() {
+                self.connections_to_end.push((other, EndReason::PeerSilent));
             }
-            // Where there are more than get reports, it is the newer ones that go without.
-            if let Some(incarnation) = link.incarnation.filter(|i| Some(*i) < reporter) {
-                let observation = match link.was_in_use(link.missed_since) {
+            // With more connections than the exchange reports on, the newer ones get no reports. Missed
+            // reports are therefore a failure sign only on connections older than the reporting one.
+            if let Some(incarnation) = connection.incarnation.filter(|i| Some(*i) < reporter) {
+                let failure_sign = match connection.was_in_use(connection.missing_since) {
                     true => FailureSign::MissedReports(incarnation),
                     false => FailureSign::MissedReportsAtRest(incarnation),
                 };
-                cx.engine.record_failure_sign(cx.now, exchange, observation);
+                cx.engine.record_failure_sign(cx.now, exchange, failure_sign);
             }
         }
     }
 
     fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
-        let Some(link) = self.links.get(token) else {
+        let Some(connection) = self.connections.get(token) else {
             return Ok(());
         };
-        let exchange = link.exchange;
-        let (by, is_first) = (link.incarnation, !link.heard);
-        self.observe_first(token, &message.verb, cx);
+        let exchange = connection.exchange;
+        let (incarnation, is_first) = (connection.incarnation, !connection.has_received);
+        self.observe_first_message(token, &message.verb, cx);
         let attempt = self.by_tag.get(&(exchange, message.tag.clone())).copied();
-        // What answers a set-up comes on its own connection; on another it answers one given up there.
-        let elsewhere = |a: &AttemptToken| {
-            let on = self.attempts.get(a).map(|sent| sent.link);
+        // The answer to a set-up arrives on the connection of the set-up. An answer on another connection is
+        // for a cancelled attempt that was sent there.
+        let is_for_other_connection = |a: &AttemptToken| {
+            let sent_on = self.attempts.get(a).map(|sent| sent.connection);
             !cx.engine.is_answered(*a)
-                && on != Some(token)
-                && on.is_some_and(|t| self.links.get(t).is_some())
+                && sent_on != Some(token)
+                && sent_on.is_some_and(|t| self.connections.get(t).is_some())
         };
-        let attempt = attempt.filter(|a| !elsewhere(a));
-        // The state of the group comes unasked with each change, at once. What answers and releases repeat of it
-        // was true when they left the exchange, and has been overtaken by the time they are here.
+        let attempt = attempt.filter(|a| !is_for_other_connection(a));
+        // The exchange reports each change of the trunk group's state at once. The copies of the state in
+        // answers and releases are ignored: they are older than the latest report by the time they arrive.
         if message.verb == "LOAD" {
-            // What comes first on a connection comes on that one alone.
+            // The exchange sends the first report of a connection on that connection alone.
             if !is_first {
-                self.reported(token, exchange, cx);
+                self.check_missed_reports(token, exchange, cx);
             }
             let load = message.opt("load");
             let count = |name: &str| list_value(load, name).filter(|x| *x >= 0.0).map(|x| x as u32);
@@ -596,84 +661,92 @@
         }
         match (message.verb.as_str(), attempt) {
             ("STARTED", Some(attempt)) => {
-                // An answer without its description is cut short.
+                // An answer without a description is incomplete.
                 let description = message.blob.ok_or(EndReason::MalformedMessage)?;
                 if let Some(sent) = self.attempts.get(&attempt) {
-                    self.no_longer_open(sent.link, attempt);
+                    self.remove_unanswered(sent.connection, attempt);
                 }
-                if !cx.engine.answered(cx.now, attempt, by, description, cx.timers) {
+                if !cx.engine.answered(cx.now, attempt, incarnation, description, cx.timers) {
                     cx.log.line(cx.now, "answer-twice", &message.tag);
                 }
             }
             ("FINISH", _) if message.rc.is_none() => return Err(EndReason::MalformedMessage),
             ("FINISH", Some(attempt)) => {
-                let end = end_of(message.rc, message.opt("note"), cx.engine.is_answered(attempt));
-                self.observe_call(attempt, cx);
-                self.forget(attempt);
+                let end =
+                    release_reason(message.rc, message.opt("note"), cx.engine.is_answered(attempt));
+                self.observe_call_message(attempt, cx);
+                self.remove_attempt(attempt);
                 cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
-                self.close_if_done(token, cx);
+                self.close_if_drained(token, cx);
             }
             ("STARTED" | "FINISH", None) => {}
             ("PENDING" | "FINISHED" | "LOAD" | "ECHOED", _) => {}
-            ("ECHO", _) => self.send(token, &line("ECHOED", &message.tag, &[], Some(1), None)),
+            ("ECHO", _) => self.send(token, &encode_message("ECHOED", &message.tag, &[], Some(1), None)),
             _ => return Err(EndReason::MalformedMessage),
         }
         Ok(())
     }
 
-    /// Ends the connections that broke while something was sent.
+    /// Ends the connections that failed during a send or were found silent.
     pub fn reap(&mut self, cx: &mut Context) {
-        for (token, end) in std::mem::take(&mut self.doomed) {
+        for (token, end) in std::mem::take(&mut self.connections_to_end) {
             self.end(token, end, cx);
         }
     }
 
     fn end(&mut self, token: Token, end: EndReason, cx: &mut Context) {
-        let Some(mut link) = self.links.remove(token) else {
+        let Some(mut connection) = self.connections.remove(token) else {
             return;
         };
-        let _ = cx.registry.deregister(&mut link.conn.stream);
-        let exchange = link.exchange;
-        let mut was_listed = false;
+        let _ = cx.registry.deregister(&mut connection.socket.stream);
+        let exchange = connection.exchange;
+        let mut was_active = false;
         if let Some(peer) = self.peers.get_mut(&exchange) {
-            was_listed = peer.links.contains(&token);
-            peer.links.retain(|t| *t != token);
+            was_active = peer.connections.contains(&token);
+            peer.connections.retain(|t| *t != token);
         }
         if end != EndReason::ClosedLocally {
-            let (name, open) = (cx.engine.name(exchange), link.open.len());
+            let (name, open) = (cx.engine.name(exchange), connection.unanswered.len());
             cx.log.line(cx.now, "exchange-ended", format_args!("{name}: {end}, {open} open"));
         }
-        self.observe_end(&link, was_listed, end, cx);
-        // A connection that could not be made says something of the exchange only where none is up, and where
-        // it was not this side that ended it.
-        let failed = !link.conn.is_connected() && end != EndReason::ClosedLocally;
-        let unreachable = failed && was_listed && self.up(exchange) == 0;
-        let is_open = |(_, l): (Token, &Link)| l.exchange == exchange && l.conn.is_connected();
-        if unreachable && end == EndReason::ConnectionRefused && !self.links.iter().any(is_open) {
+        self.observe_end(&connection, was_active, end, cx);
+        // A failed dial indicates that the exchange is unreachable only if no other connection is established
+        // and this side did not end the dial.
+        let dial_failed = !connection.socket.is_connected() && end != EndReason::ClosedLocally;
+        let unreachable = dial_failed && was_active && self.connected_count(exchange) == 0;
+        let is_connected =
+            |(_, c): (Token, &Connection)| c.exchange == exchange && c.socket.is_connected();
+        if unreachable
+            && end == EndReason::ConnectionRefused
+            && !self.connections.iter().any(is_connected)
+        {
             cx.engine.connection_refused(cx.now, exchange, cx.timers);
         }
-        if was_listed {
-            if unreachable || !link.heard {
-                self.redial(exchange, cx);
+        if was_active {
+            if unreachable || !connection.has_received {
+                self.schedule_redial(exchange, cx);
             } else {
-                self.refill(exchange, cx);
+                self.ensure_connections(exchange, cx);
             }
         }
-        for attempt in link.open {
-            let Some(sent) = self.forget(attempt) else {
+        for attempt in connection.unanswered {
+            let Some(sent) = self.remove_attempt(attempt) else {
                 continue;
             };
-            // What was not written whole has not run: it goes on another connection, if there may be one.
-            let left = !unreachable && sent.moves < MOVES && !link.conn.has_written(sent.end_at);
-            let serves = self.peers.get(&exchange).is_some_and(|p| p.phase == Phase::InService);
-            if left && serves && cx.now < sent.until {
-                let times = (sent.at, sent.until);
-                self.start(attempt, exchange, sent.info, times, sent.moves + 1, cx);
+            // The exchange cannot have processed a set-up that was not fully written, so it is sent on another
+            // connection if one may be available.
+            let can_reassign = !unreachable
+                && sent.reassignments < MAX_REASSIGNMENTS
+                && !connection.socket.has_written(sent.end_offset);
+            let in_service = self.peers.get(&exchange).is_some_and(|p| p.phase == Phase::InService);
+            if can_reassign && in_service && cx.now < sent.deadline {
+                let times = (sent.sent_at, sent.deadline);
+                self.send_set_up(attempt, exchange, sent.info, times, sent.reassignments + 1, cx);
             } else {
-                let unsent = !link.conn.has_written(sent.end_at);
+                let not_written = !connection.socket.has_written(sent.end_offset);
                 let end = match end {
-                    EndReason::ClosedLocally if unsent => EndReason::NotSent,
-                    _ if unsent && link.conn.is_connected() => EndReason::ResetBeforeUse,
+                    EndReason::ClosedLocally if not_written => EndReason::NotSent,
+                    _ if not_written && connection.socket.is_connected() => EndReason::ResetBeforeUse,
                     end => end,
                 };
                 cx.engine.attempt_ended(cx.now, attempt, end, cx.timers);
@@ -682,11 +755,11 @@
     }
 }
 
-/// How a release by an exchange ends the attempt.
-fn end_of(rc: Option<u32>, note: &str, stands: bool) -> EndReason {
+/// Maps a release by an exchange to the end reason of the attempt.
+fn release_reason(rc: Option<u32>, note: &str, is_established: bool) -> EndReason {
     match (rc, note) {
-        (Some(16), _) if stands => EndReason::Ended,
-        _ if stands => EndReason::Dropped,
+        (Some(16), _) if is_established => EndReason::Ended,
+        _ if is_established => EndReason::Dropped,
         (Some(34), "group_full") => EndReason::NoCircuit,
         (Some(34), "tandem_refused") => EndReason::TandemRefused,
         (Some(34), "destination_full") => EndReason::FarProcessorFull,
--- a/node/src/net/inherited.rs
+++ b/node/src/net/inherited.rs
@@ -1,42 +1,44 @@
-//! The listening socket that the platform holds and hands down, so that a process can be replaced while the clients'
-//! connections go on arriving.
+//! Socket activation: the platform owns the listening socket and passes it to the process, so that a process
+//! can be replaced while clients keep connecting.
 
 use listenfd::ListenFd;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// Takes over the listening socket under a descriptor, if it is one. To be called once, before there are threads.
+/// Takes the listening socket from an inherited descriptor; fails if the descriptor is not a listening
+/// socket. Call this once, before any threads are started, because it sets environment variables.
 pub fn listener(descriptor: u16) -> io::Result<TcpListener> {
-    // The platform has a variable of its own for what the common convention calls these.
+    // The platform passes the descriptor in a variable of its own, and `listenfd` reads the systemd variables.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     let listener = ListenFd::from_env().take_tcp_listener(0)?;
-    let listener = listener.ok_or_else(|| io::Error::other("no descriptor was handed down"))?;
+    let listener =
+        listener.ok_or_else(|| io::Error::other("no listening socket was passed to this process"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Which process serves on a socket that is handed down, for the process that it replaces: both share the folder for
-/// temporary files.
+/// A file with the id of the process that serves on an inherited socket. It tells the previous process that
+/// it has been replaced: both processes use the same directory for temporary files.
 #[derive(Debug)]
-pub struct Serving {
-    file: PathBuf,
+pub struct PidFile {
+    path: PathBuf,
 }
 
-impl Serving {
-    /// Takes over from whichever process served before.
-    pub fn take_over(folder: &Path, listen: SocketAddr) -> io::Result<Self> {
+impl PidFile {
+    /// Writes the id of this process to the file, which replaces the id of the previous process.
+    pub fn claim(directory: &Path, listen: SocketAddr) -> io::Result<Self> {
         let name = format!("slateshed-{listen}.pid").replace(':', "-");
-        let serving = Serving { file: folder.join(name) };
-        std::fs::write(&serving.file, std::process::id().to_string())?;
-        Ok(serving)
+        let pid_file = PidFile { path: directory.join(name) };
+        std::fs::write(&pid_file.path, std::process::id().to_string())?;
+        Ok(pid_file)
     }
 
-    /// Whether another process serves in the place of this one. One that has died does not.
+    /// Whether another live process has replaced this one.
     pub fn is_taken_over(&self) -> bool {
-        let pid = std::fs::read_to_string(&self.file).ok().and_then(|text| text.parse::<u32>().ok());
+        let pid = std::fs::read_to_string(&self.path).ok().and_then(|text| text.parse::<u32>().ok());
         pid.is_some_and(|p| p != std::process::id() && Path::new(&format!("/proc/{p}")).exists())
     }
 }
--- a/node/src/net/journal.rs
+++ b/node/src/net/journal.rs
@@ -1,7 +1,7 @@
-//! The journal service: numbered changes of the exchange list.
+//! The connection to the journal service, which sends numbered updates of the exchange list.
 
 use super::conn::Conn;
-use super::lines::json;
+use super::lines::decode_json;
 use super::{Context, SourceKind, TimerEvent};
 use crate::arena::Token;
 use crate::config::{parse_list_event, Limits, ListEvent};
@@ -12,34 +12,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream without a line for this long is dead: one comes each second.
-const SILENT: Duration = Duration::from_millis(2500);
-/// Wait before dialling again after a dial that failed.
-const AGAIN: Duration = Duration::from_millis(150);
+/// Time without a line after which the connection counts as dead. The journal service sends a line each second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Delay before dialling again after a failed dial or an invalid line.
+const REDIAL_DELAY: Duration = Duration::from_millis(150);
 
 /// The connection to the journal service.
 pub struct Journal {
     addr: SocketAddr,
     limits: Limits,
-    /// The last event that was taken in.
+    /// The number of the last event received.
     position: u64,
     conn: Option<Conn>,
-    /// Counts connections, to know stale deadlines and events.
-    turn: u64,
-    last_heard: Duration,
+    /// The number of the current connection. Timers and poll events of earlier connections are stale.
+    generation: u64,
+    last_received_at: Duration,
 }
 
 impl Journal {
-    /// A journal that knows all events up to a number.
+    /// Creates the state after the event numbered `position`.
     pub fn new(addr: SocketAddr, position: u64, limits: Limits) -> Self {
-        Journal { addr, limits, position, conn: None, turn: 0, last_heard: Duration::ZERO }
+        Journal { addr, limits, position, conn: None, generation: 0, last_received_at: Duration::ZERO }
     }
 
-    /// The configuration was read again. At another address the numbers go on: the stream there begins after
-    /// the last event that was taken in, and what the old one still had to tell comes on the new one.
+    /// Applies a reload of the configuration. The event numbers are the same at a new address: the stream
+    /// there starts after the last event received, so the new connection delivers the events that the old one
+    /// had not delivered.
     pub fn switch(&mut self, addr: SocketAddr, cx: &mut Context) {
-        let same = if self.addr == addr { "as before" } else { "new" };
-        cx.log.line(cx.now, "reloaded", format_args!("journal service at {addr}, {same}"));
+        let address_state = if self.addr == addr { "unchanged" } else { "new" };
+        cx.log.line(cx.now, "reloaded", format_args!("journal service at {addr}, {address_state}"));
         if self.addr != addr {
             self.addr = addr;
             if let Some(mut conn) = self.conn.take() {
@@ -49,66 +50,72 @@
         }
     }
 
-    /// Connects, and asks for all events after the last one known.
+    /// Connects and requests all events after the last one received.
     pub fn dial(&mut self, cx: &mut Context) {
-        self.turn += 1;
-        self.last_heard = cx.now;
+        self.generation += 1;
+        self.last_received_at = cx.now;
         let dialled = TcpStream::connect(self.addr).and_then(|mut stream| {
-            let token = SourceKind::Journal.token(Token::from_bits(self.turn));
+            let token = SourceKind::Journal.token(Token::from_bits(self.generation));
             cx.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             Ok(Conn::new(stream, self.limits.journal_buffer_limits(), false))
         });
         match dialled {
             Ok(mut conn) => {
-                // Queued until the connection is up.
+                // The request is queued until the connection is established.
                 let _ = conn.send(format!("tail {}\n", self.position).as_bytes());
                 self.conn = Some(conn);
-                cx.timers.schedule(cx.now + cx.dial_timeout, TimerEvent::JournalDial(self.turn));
-                cx.timers.schedule(cx.now + SILENT, TimerEvent::JournalSilent(self.turn));
+                cx.timers
+                    .schedule(cx.now + cx.dial_timeout, TimerEvent::JournalDialTimeout(self.generation));
+                cx.timers
+                    .schedule(cx.now + IDLE_TIMEOUT, TimerEvent::JournalIdleTimeout(self.generation));
             }
             Err(e) => {
                 cx.log.line(cx.now, "journal-unreachable", e);
-                cx.timers.schedule(cx.now + AGAIN, TimerEvent::JournalAgain(self.turn));
+                cx.timers.schedule(cx.now + REDIAL_DELAY, TimerEvent::JournalRedial(self.generation));
             }
         }
     }
 
-    /// A dial that failed may be repeated now.
-    pub fn again_due(&mut self, turn: u64, cx: &mut Context) {
-        if turn == self.turn && self.conn.is_none() {
+    /// Handles the redial timer.
+    pub fn redial_due(&mut self, generation: u64, cx: &mut Context) {
+        if generation == self.generation && self.conn.is_none() {
             self.dial(cx);
         }
     }
 
-    /// The connection should be up by now.
-    pub fn dial_due(&mut self, turn: u64, cx: &mut Context) {
-        if turn == self.turn && self.conn.as_ref().is_some_and(|c| !c.is_connected()) {
+    /// Handles the dial timeout: ends the connection if it is not established.
+    pub fn dial_timeout_due(&mut self, generation: u64, cx: &mut Context) {
+        if generation == self.generation && self.conn.as_ref().is_some_and(|c| !c.is_connected()) {
             self.end(EndReason::DialTimedOut, cx);
         }
     }
 
-    /// A line should have come by now.
-    pub fn silent_due(&mut self, turn: u64, cx: &mut Context) {
-        if turn != self.turn || self.conn.is_none() {
+    /// Handles the idle timeout: ends the connection if no line was received in time.
+    pub fn idle_timeout_due(&mut self, generation: u64, cx: &mut Context) {
+        if generation != self.generation || self.conn.is_none() {
             return;
         }
-        if cx.now >= self.last_heard + SILENT {
+        if cx.now >= self.last_received_at + IDLE_TIMEOUT {
             self.end(EndReason::PeerSilent, cx);
         } else {
-            cx.timers.schedule(self.last_heard + SILENT, TimerEvent::JournalSilent(turn));
+            cx.timers.schedule(
+                self.last_received_at + IDLE_TIMEOUT,
+                TimerEvent::JournalIdleTimeout(generation),
+            );
         }
     }
 
-    /// The connection can be read or written, or has come up. The events that it brings are added to `out`.
-    pub fn ready(&mut self, token: Token, out: &mut Vec<ListEvent>, cx: &mut Context) {
-        if token == Token::from_bits(self.turn) {
-            if let Err(end) = self.read(out, cx) {
+    /// Handles an event on the connection: readable, writable or established. Received list events are added
+    /// to `events`.
+    pub fn ready(&mut self, token: Token, events: &mut Vec<ListEvent>, cx: &mut Context) {
+        if token == Token::from_bits(self.generation) {
+            if let Err(end) = self.read(events, cx) {
                 self.end(end, cx);
             }
         }
     }
 
-    fn read(&mut self, out: &mut Vec<ListEvent>, cx: &mut Context) -> Result<(), EndReason> {
+    fn read(&mut self, events: &mut Vec<ListEvent>, cx: &mut Context) -> Result<(), EndReason> {
         let Some(conn) = self.conn.as_mut() else {
             return Ok(());
         };
@@ -119,13 +126,13 @@
         loop {
             let read = conn.fill();
             while let Some(line) = conn.next_line()? {
-                self.last_heard = cx.now;
+                self.last_received_at = cx.now;
                 if line.is_empty() {
                     continue;
                 }
-                let value = json(&line)?;
+                let value = decode_json(&line)?;
                 if let Some(last) = heartbeat(&value) {
-                    // Something that should have come before it has not.
+                    // An event before this heartbeat is missing.
                     if last > self.position as f64 {
                         return Err(EndReason::MalformedMessage);
                     }
@@ -138,7 +145,7 @@
                 })?;
                 if event.position > self.position {
                     self.position = event.position;
-                    out.push(event);
+                    events.push(event);
                 }
             }
             if read? == 0 {
@@ -157,12 +164,12 @@
         {
             self.dial(cx);
         } else {
-            cx.timers.schedule(cx.now + AGAIN, TimerEvent::JournalAgain(self.turn));
+            cx.timers.schedule(cx.now + REDIAL_DELAY, TimerEvent::JournalRedial(self.generation));
         }
     }
 }
 
-/// The last event's number, where the line holds that alone.
+/// The number of the last event, if the line is a heartbeat, which holds only this number.
 fn heartbeat(line: &JsonValue) -> Option<f64> {
     match lookup(line, "hosts") {
         Some(_) => None,
@@ -174,10 +181,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against taking the line of each second for a malformed event, which ended the stream over
-    /// and over.
+    /// Guards against parsing the heartbeat of each second as a malformed event, which ended the connection
+    /// again and again.
     #[test]
-    fn a_position_alone_is_a_heartbeat() {
+    fn a_line_with_only_a_position_is_a_heartbeat() {
         let read = |text: &str| heartbeat(&text.parse().expect("JSON"));
         assert_eq!((read("{\"pos\":41}"), read("41")), (Some(41.0), Some(41.0)));
         assert_eq!(read("{\"pos\":41,\"hosts\":{\"full\":true,\"servers\":[]}}"), None);
--- a/node/src/net/lifecycle.rs
+++ b/node/src/net/lifecycle.rs
@@ -1,78 +1,84 @@
-//! The lifecycle of this process: whether it accepts new work, and how it sheds client connections.
+//! The lifecycle of this process: whether it accepts new calls, and how it closes client connections while
+//! draining or stopping.
 
 use std::time::Duration;
 
-/// A drained call controller leaves its clients this long to notice before it closes their idle connections.
-const NOTICED_AFTER: Duration = Duration::from_millis(600);
-/// And refuses set-ups after this: calls in transit go on coming, as nothing tells the other controllers.
-const REFUSED_AFTER: Duration = Duration::from_millis(1800);
-/// After a planned stop was asked for, connections and set-ups keep coming for this long.
-const STOP_TAKES: Duration = Duration::from_millis(800);
-/// The process is killed the longest deadline after a planned stop was asked for, counted as this where it is longer,
-/// and 0.7 s more. These times after the deadline all answers are out, what still stands is let go, and the process
-/// ends whatever has not been written.
-const MOST_DEADLINE: Duration = Duration::from_secs(3);
-const ANSWERED_AFTER: Duration = Duration::from_millis(300);
-const LET_GO_AFTER: Duration = Duration::from_millis(400);
-const END_AFTER: Duration = Duration::from_millis(550);
+/// Delay between the start of a drain and the closing of idle client connections: the clients have this time
+/// to notice the drain through their health checks.
+const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(600);
+/// Delay between the start of a drain and the refusal of set-ups. Calls in transit keep arriving until then,
+/// because the other controllers are not notified of a drain.
+const DRAIN_REFUSE_DELAY: Duration = Duration::from_millis(1800);
+/// Time for which connections and set-ups keep arriving after a planned stop is requested.
+const MIN_STOP_TIME: Duration = Duration::from_millis(800);
+/// Upper limit of the longest deadline that a planned stop allows for. The platform kills the process 0.7 s
+/// after this deadline, counted from the stop request. The three delays below are counted from the same
+/// deadline.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// When all calls must have been answered.
+const STOP_ANSWER_DELAY: Duration = Duration::from_millis(300);
+/// When established calls are abandoned.
+const STOP_ABANDON_DELAY: Duration = Duration::from_millis(400);
+/// When the process exits, even with unwritten data.
+const STOP_EXIT_DELAY: Duration = Duration::from_millis(550);
 
 /// How client connections are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientPolicy {
-    /// They are kept.
+    /// Connections are kept.
     Keep,
-    /// Each is closed once no call is on it; one that came after this time, as soon as it has its answers and there
-    /// is another to tell the end of its calls on.
+    /// Each connection is closed once it has no calls. A connection accepted at or after this time is closed
+    /// once it has been sent its answers, if an older connection can carry the releases of its calls.
     Close(Duration),
-    /// The same, and set-ups are refused, so that no connection stays for one that has just come.
+    /// The same, and set-ups are refused, so that no new call keeps a connection open.
     Refuse(Duration),
 }
 
 /// The lifecycle state: in service, draining or stopping.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
-    drained_at: Option<Duration>,
-    stopped_at: Option<Duration>,
-    /// Another process serves on the same listening socket: it takes what arrives.
+    draining_since: Option<Duration>,
+    stopping_since: Option<Duration>,
+    /// Whether another process accepts the new connections on the same listening socket.
     replaced: bool,
-    /// The longest that a caller waits, as far as it counts here.
+    /// The longest deadline of any class, limited to [`MAX_DEADLINE`].
     deadline: Duration,
 }
 
 impl Lifecycle {
-    /// In service. `deadline`: the longest that a caller waits.
+    /// Creates the state in service. `deadline`: the longest deadline of any class.
     pub fn new(deadline: Duration) -> Self {
-        let deadline = deadline.min(MOST_DEADLINE);
-        Lifecycle { drained_at: None, stopped_at: None, replaced: false, deadline }
+        let deadline = deadline.min(MAX_DEADLINE);
+        Lifecycle { draining_since: None, stopping_since: None, replaced: false, deadline }
     }
 
-    /// An operator has this call controller drained.
+    /// Starts a drain at an operator's request.
     pub fn drain(&mut self, now: Duration) {
-        self.drained_at.get_or_insert(now);
+        self.draining_since.get_or_insert(now);
     }
 
-    /// An operator has it back at work.
+    /// Ends a drain at an operator's request.
     pub fn join(&mut self) {
-        self.drained_at = None;
+        self.draining_since = None;
     }
 
-    /// A planned stop was asked for; when all answers have to be out. None if one was asked for before. `replaced`:
-    /// another process serves on the same listening socket.
+    /// Starts a planned stop and returns the time by which all calls must be answered, or `None` if a stop
+    /// was requested before. `replaced`: another process serves on the same listening socket.
     pub fn stop(&mut self, now: Duration, replaced: bool) -> Option<Duration> {
-        let first = self.stopped_at.is_none();
+        let first = self.stopping_since.is_none();
         self.replaced = if first { replaced } else { self.replaced };
-        self.stopped_at.get_or_insert(now);
-        first.then_some(now + self.deadline + ANSWERED_AFTER)
+        self.stopping_since.get_or_insert(now);
+        first.then_some(now + self.deadline + STOP_ANSWER_DELAY)
     }
 
-    /// Whether a planned stop was asked for.
+    /// Whether a planned stop was requested.
     pub fn is_stopping(&self) -> bool {
-        self.stopped_at.is_some()
+        self.stopping_since.is_some()
     }
 
-    /// Whether this process says that it takes new work.
+    /// Whether this process reports that it accepts new calls.
     pub fn is_ready(&self) -> bool {
-        self.drained_at.is_none() && !self.is_stopping()
+        self.draining_since.is_none() && !self.is_stopping()
     }
 
     /// Whether new connections are left to the process that replaces this one.
@@ -80,48 +86,52 @@
         self.replaced && self.is_stopping()
     }
 
-    /// How client connections are treated at a time.
+    /// How client connections are treated at the time `now`.
     pub fn client_policy(&self, now: Duration) -> ClientPolicy {
-        match self.drained_at {
-            // What stands need not be told of: whoever is left at the end takes it over.
+        match self.draining_since {
+            // No connection is kept for the releases of established calls: the process that remains takes
+            // them over.
             _ if self.yields_listener() => ClientPolicy::Close(Duration::ZERO),
-            Some(at) if now >= at + REFUSED_AFTER => ClientPolicy::Refuse(at + NOTICED_AFTER),
-            Some(at) if now >= at + NOTICED_AFTER => ClientPolicy::Close(at + NOTICED_AFTER),
+            Some(at) if now >= at + DRAIN_REFUSE_DELAY => ClientPolicy::Refuse(at + DRAIN_CLOSE_DELAY),
+            Some(at) if now >= at + DRAIN_CLOSE_DELAY => ClientPolicy::Close(at + DRAIN_CLOSE_DELAY),
             _ => ClientPolicy::Keep,
         }
     }
 
-    /// When that or the end next has to be looked at again.
+    /// The next time after `now` at which the drain or the stop reaches another step.
     pub fn next_step(&self, now: Duration) -> Option<Duration> {
-        let drained = self.drained_at.map(|at| [at + NOTICED_AFTER, at + REFUSED_AFTER]);
+        let drain_steps =
+            self.draining_since.map(|at| [at + DRAIN_CLOSE_DELAY, at + DRAIN_REFUSE_DELAY]);
         let deadline = self.deadline;
-        let steps = [STOP_TAKES, deadline, deadline + LET_GO_AFTER, deadline + END_AFTER];
-        let stopped = self.stopped_at.map(|at| steps.map(|step| at + step));
-        let drained = drained.into_iter().flatten();
-        drained.chain(stopped.into_iter().flatten()).filter(|at| *at > now).min()
+        let steps = [MIN_STOP_TIME, deadline, deadline + STOP_ABANDON_DELAY, deadline + STOP_EXIT_DELAY];
+        let stop_steps = self.stopping_since.map(|at| steps.map(|step| at + step));
+        let drain_steps = drain_steps.into_iter().flatten();
+        drain_steps.chain(stop_steps.into_iter().flatten()).filter(|at| *at > now).min()
     }
 
-    /// After a planned stop: whether nothing new is to be expected, so that the process may end once all is settled.
+    /// During a planned stop: whether no more connections and set-ups are expected, so that the process may
+    /// exit once all calls are finished and all data is written.
     pub fn may_end(&self, now: Duration) -> bool {
-        self.stopped_at.is_some_and(|at| now >= at + STOP_TAKES)
+        self.stopping_since.is_some_and(|at| now >= at + MIN_STOP_TIME)
     }
 
-    /// After a planned stop: whether dialogs are ended from this side, in time for their peers' answers.
+    /// During a planned stop: whether this side ends the SIP dialogs, early enough to receive the peers'
+    /// responses.
     pub fn ends_dialogs(&self, now: Duration) -> bool {
-        let wait = if self.replaced { STOP_TAKES } else { self.deadline };
-        self.stopped_at.is_some_and(|at| now >= at + wait)
+        let wait = if self.replaced { MIN_STOP_TIME } else { self.deadline };
+        self.stopping_since.is_some_and(|at| now >= at + wait)
     }
 
-    /// After a planned stop: whether calls that still stand are let go. Until then their ends are passed on, except
-    /// where another process has taken over the clients.
+    /// During a planned stop: whether established calls are abandoned. Until then their releases are
+    /// forwarded, unless another process has taken over the clients.
     pub fn abandons_calls(&self, now: Duration) -> bool {
-        let wait = if self.replaced { STOP_TAKES } else { self.deadline + LET_GO_AFTER };
-        self.stopped_at.is_some_and(|at| now >= at + wait)
+        let wait = if self.replaced { MIN_STOP_TIME } else { self.deadline + STOP_ABANDON_DELAY };
+        self.stopping_since.is_some_and(|at| now >= at + wait)
     }
 
-    /// After a planned stop: whether the process ends, whatever has not been written.
+    /// During a planned stop: whether the process exits at once, even with unwritten data.
     pub fn must_end(&self, now: Duration) -> bool {
-        self.stopped_at.is_some_and(|at| now >= at + self.deadline + END_AFTER)
+        self.stopping_since.is_some_and(|at| now >= at + self.deadline + STOP_EXIT_DELAY)
     }
 }
 
@@ -129,10 +139,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against a drain that leaves clients on their connections, closes on them before they can notice, or
-    /// outlives the call that ends it.
+    /// Guards against a drain that keeps client connections open, closes them before the clients can notice
+    /// the drain, or continues after `join`.
     #[test]
-    fn a_drain_goes_by_steps_and_back() {
+    fn a_drain_closes_then_refuses_and_ends_with_a_join() {
         let at = Duration::from_millis;
         let mut lifecycle = Lifecycle::new(Duration::from_secs(9));
         assert!(lifecycle.is_ready());
@@ -144,7 +154,11 @@
             steps,
             [ClientPolicy::Keep, ClientPolicy::Close(at(1600)), ClientPolicy::Refuse(at(1600))]
         );
-        assert_eq!(lifecycle.next_step(at(1000)), Some(at(1600)), "the first call counts");
+        assert_eq!(
+            lifecycle.next_step(at(1000)),
+            Some(at(1600)),
+            "only the first drain request sets the start time"
+        );
         lifecycle.join();
         assert!(lifecycle.is_ready());
         assert_eq!(
@@ -153,9 +167,10 @@
         );
     }
 
-    /// Guards against two processes that both take what arrives, one of which is about to end.
+    /// Guards against a takeover after which both processes accept new connections, although one is about to
+    /// exit.
     #[test]
-    fn at_a_stop_the_door_is_left_to_the_process_that_replaces_this_one() {
+    fn a_stop_yields_the_listener_only_to_a_replacing_process() {
         let at = Duration::from_millis;
         for replaced in [true, false] {
             let mut lifecycle = Lifecycle::new(at(9000));
@@ -166,8 +181,12 @@
             assert!(
                 !lifecycle.is_ready() && !lifecycle.may_end(at(1500)) && lifecycle.may_end(at(1900))
             );
-            assert_eq!(lifecycle.abandons_calls(at(1900)), replaced, "the ends of calls are passed on");
-            // Killed after the deadline, three seconds of it at most, and 0.7 s more.
+            assert_eq!(
+                lifecycle.abandons_calls(at(1900)),
+                replaced,
+                "without a replacing process, releases are still forwarded"
+            );
+            // The platform kills the process 0.7 s after the deadline, which counts as three seconds at most.
             assert!(
                 lifecycle.abandons_calls(at(4400))
                     && !lifecycle.must_end(at(4500))
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets: one poll, one loop, a module for each kind of peer.
+//! Network I/O: one poll in one event loop, and a module for each kind of peer.
 
 pub mod clients;
 pub mod conn;
@@ -18,12 +18,12 @@
 use crate::timers::TimerQueue;
 use clients::Clients;
 use exchanges::Exchanges;
-use inherited::Serving;
+use inherited::PidFile;
 use journal::Journal;
 use lifecycle::Lifecycle;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry};
-use operators::{Call, Operators};
+use operators::{OperatorCommand, Operators};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use sip::{Sip, SipDue};
@@ -31,11 +31,12 @@
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Whoever connects and has said nothing whole within this time is closed on, on either front; so is one whose
-/// message has begun and is not whole by then. Some take two seconds to write one.
+/// Timeout for the first complete message on an accepted connection, and for the rest of a partially received
+/// message, on both fronts. Some clients take two seconds to write a message.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// Connections accepted in one turn, on any listener. The rest are in the next, after all others have had theirs.
+/// Maximum number of connections accepted from one listener in one iteration of the event loop. The remaining
+/// ones are accepted in the next iteration, so that they do not starve other peers.
 const ACCEPT_BATCH: usize = 64;
 
 /// The kind of event source that a poll token belongs to; the rest of the poll token is an arena token.
@@ -43,7 +44,7 @@
 pub enum SourceKind {
     /// The listener for clients.
     Listener,
-    /// The signals.
+    /// The signal handler.
     Signals,
     /// A client's connection.
     Client,
@@ -51,11 +52,11 @@
     Exchange,
     /// The connection to the journal service.
     Journal,
-    /// The SIP front's datagrams.
+    /// The SIP front's UDP socket.
     SipDatagrams,
-    /// The SIP front's listener.
+    /// The SIP front's TCP listener.
     SipListener,
-    /// A stream of the SIP front.
+    /// A TCP connection of the SIP front.
     SipStream,
     /// The listener for operators.
     OperatorListener,
@@ -77,50 +78,50 @@
         SourceKind::Operator,
     ];
 
-    /// The poll token of a slot.
+    /// The poll token for an arena token of this kind.
     pub fn token(self, token: Token) -> mio::Token {
         mio::Token((self as usize) << 60 | token.bits() as usize)
     }
 
     fn split(token: mio::Token) -> (Option<SourceKind>, Token) {
-        let slot = Token::from_bits((token.0 & ((1 << 60) - 1)) as u64);
-        (Self::ALL.get(token.0 >> 60).copied(), slot)
+        let arena_token = Token::from_bits((token.0 & ((1 << 60) - 1)) as u64);
+        (Self::ALL.get(token.0 >> 60).copied(), arena_token)
     }
 }
 
-/// What a timer is for.
+/// The event that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// Something of the engine.
+    /// A timer of the engine.
     Engine(EngineTimer),
-    /// Accepting may work again.
-    Accept,
-    /// A connection to an exchange should be up.
+    /// The listener for clients may accept again.
+    ClientAccept,
+    /// A dialled connection to an exchange must be established by now.
     DialTimeout(Token),
-    /// A client should have said something, or have ended its message.
-    Client(Token),
-    /// A message of an exchange should have been completed.
+    /// A client must have sent its first message, or completed its current one, by now.
+    ClientTimeout(Token),
+    /// An exchange must have completed its current message by now.
     PartialMessage(Token),
-    /// An exchange should have closed its side of a connection that was closed here.
+    /// An exchange must have closed its side of a connection that this side closed.
     CloseTimeout(Token),
-    /// An exchange is to be dialled again.
+    /// An exchange is dialled again.
     Redial(ExchangeId),
-    /// The journal service is to be dialled again.
-    JournalAgain(u64),
-    /// The connection to the journal service should be up.
-    JournalDial(u64),
-    /// The journal service should have been heard.
-    JournalSilent(u64),
-    /// Something of the SIP front.
+    /// The journal service is dialled again; with the generation of its connection.
+    JournalRedial(u64),
+    /// The connection to the journal service must be established by now; with its generation.
+    JournalDialTimeout(u64),
+    /// The journal service must have sent a line by now; with the generation of its connection.
+    JournalIdleTimeout(u64),
+    /// A timer of the SIP front.
     Sip(SipDue),
-    /// The SIP front may accept again.
+    /// The SIP front's TCP listener may accept again.
     SipAccept,
-    /// A stream of the SIP front should be up, or have been heard.
+    /// A TCP connection of the SIP front must be established, or must have received data, by now.
     SipStream(Token),
-    /// Operators may be accepted again.
+    /// The listener for operators may accept again.
     OperatorAccept,
-    /// An operator has had the time to ask.
-    Operator(Token),
+    /// An operator must have sent its command and read the answer by now.
+    OperatorTimeout(Token),
 }
 
 impl From<EngineTimer> for TimerEvent {
@@ -129,9 +130,9 @@
     }
 }
 
-/// What every kind of peer needs.
+/// State and services shared by the handlers of all kinds of peers.
 pub struct Context<'a> {
-    /// The time, by the Unix clock at the start and steady from there.
+    /// The current time: the Unix time at the start of the process, advanced by a monotonic clock.
     pub now: Duration,
     /// The engine.
     pub engine: &'a mut Engine,
@@ -139,50 +140,52 @@
     pub timers: &'a mut TimerQueue<TimerEvent>,
     /// The log.
     pub log: &'a mut Log,
-    /// Settings for reading messages.
+    /// Settings for parsing messages.
     pub wire: &'a WireConfig,
     /// Where sockets are registered.
     pub registry: &'a Registry,
-    /// How long a connection may take to come up.
+    /// Time within which a dialled connection must be established.
     pub dial_timeout: Duration,
     /// The lifecycle state of this process.
     pub lifecycle: Lifecycle,
 }
 
-/// The clock of the program and of the decision module: steady, and counted from the Unix epoch, so that
-/// the start times of the list need no further conversion.
+/// The clock of the program and of the decision module: monotonic, and counted from the Unix epoch, so that
+/// the start times of the exchange list need no conversion.
 struct Clock {
-    base: Duration,
-    start: Instant,
+    /// Unix time at the start.
+    unix_start: Duration,
+    /// The start by the monotonic clock.
+    monotonic_start: Instant,
 }
 
 impl Clock {
     fn now(&self) -> Duration {
-        self.base + self.start.elapsed()
+        self.unix_start + self.monotonic_start.elapsed()
     }
 }
 
-/// Runs the call controller until a planned stop is done. `read` reads the configuration: once for the start,
-/// and again at each SIGHUP.
+/// Runs the call controller until a planned stop is complete. `read` reads the configuration: once at the
+/// start, and again at each SIGHUP.
 pub fn run(read: impl Fn() -> Result<Config, String>) -> Result<(), String> {
     serve(read()?, read).map_err(|e| e.to_string())
 }
 
 fn serve(config: Config, read: impl Fn() -> Result<Config, String>) -> io::Result<()> {
-    let base = SystemTime::now().duration_since(UNIX_EPOCH).map_err(io::Error::other)?;
-    let clock = Clock { base, start: Instant::now() };
+    let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).map_err(io::Error::other)?;
+    let clock = Clock { unix_start, monotonic_start: Instant::now() };
     let mut poll = Poll::new()?;
     let mut events = Events::with_capacity(1024);
     let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT])?;
-    let none = Token::from_bits(0);
-    poll.registry().register(&mut signals, SourceKind::Signals.token(none), Interest::READABLE)?;
+    let no_token = Token::from_bits(0);
+    poll.registry().register(&mut signals, SourceKind::Signals.token(no_token), Interest::READABLE)?;
     let mut listener = match config.inherited_fd {
-        Some(descriptor) => {
-            TcpListener::from_std(inherited::listener(descriptor).map_err(named("ROUTER_SOCKET_FD"))?)
-        }
-        None => TcpListener::bind(config.listen).map_err(named("listen"))?,
+        Some(descriptor) => TcpListener::from_std(
+            inherited::listener(descriptor).map_err(error_with_key("ROUTER_SOCKET_FD"))?,
+        ),
+        None => TcpListener::bind(config.listen).map_err(error_with_key("listen"))?,
     };
-    poll.registry().register(&mut listener, SourceKind::Listener.token(none), Interest::READABLE)?;
+    poll.registry().register(&mut listener, SourceKind::Listener.token(no_token), Interest::READABLE)?;
     let listen = listener.local_addr()?;
     let registry = poll.registry().try_clone()?;
     let local = match config.settings.topology {
@@ -199,20 +202,23 @@
         None => None,
     };
     let mut operators = match config.admin {
-        Some(admin) => {
-            Some(Operators::bind(admin, config.limits, &registry).map_err(named("admin_addr"))?)
-        }
+        Some(admin) => Some(
+            Operators::bind(admin, config.limits, &registry).map_err(error_with_key("admin_addr"))?,
+        ),
         None => None,
     };
-    let deadline = config.wire.deadlines.iter().max().copied().unwrap_or_default();
-    let mut lifecycle = Lifecycle::new(deadline);
+    let longest_deadline = config.wire.deadlines.iter().max().copied().unwrap_or_default();
+    let mut lifecycle = Lifecycle::new(longest_deadline);
     let mut reloads = Reloads::default();
-    // Last of all that can fail: from here on the process before is the one that is replaced.
-    let serving = match config.inherited_fd {
-        Some(_) => Some(Serving::take_over(&std::env::temp_dir(), listen).map_err(named("TMPDIR"))?),
+    // This is the last step of the start that can fail. Once it succeeds, the previous process considers
+    // itself replaced.
+    let pid_file = match config.inherited_fd {
+        Some(_) => {
+            Some(PidFile::claim(&std::env::temp_dir(), listen).map_err(error_with_key("TMPDIR"))?)
+        }
         None => None,
     };
-    let mut changes: Vec<ListEvent> = config.known.clone();
+    let mut list_events: Vec<ListEvent> = config.known.clone();
     let mut started = false;
     loop {
         let now = clock.now();
@@ -234,7 +240,7 @@
                 cx.log.line(now, "sip-started", format_args!("listening on {}", sip.listens()));
             }
             if let Some(operators) = &operators {
-                let listen = operators.listens()?;
+                let listen = operators.local_addr()?;
                 cx.log.line(now, "operators-started", format_args!("listening on {listen}"));
             }
         }
@@ -247,7 +253,7 @@
                 (Some(SourceKind::Listener), _) => clients.accept(&mut cx),
                 (Some(SourceKind::Client), token) => clients.ready(token, &mut cx),
                 (Some(SourceKind::Exchange), token) => exchanges.ready(token, &mut cx),
-                (Some(SourceKind::Journal), token) => journal.ready(token, &mut changes, &mut cx),
+                (Some(SourceKind::Journal), token) => journal.ready(token, &mut list_events, &mut cx),
                 (Some(SourceKind::SipDatagrams), _) => sip.iter_mut().for_each(|s| s.datagrams(&mut cx)),
                 (Some(SourceKind::SipListener), _) => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
                 (Some(SourceKind::SipStream), token) => {
@@ -256,7 +262,7 @@
                 (Some(SourceKind::Signals), _) => {
                     for signal in signals.pending() {
                         if signal == SIGHUP {
-                            // A file that is wrong, or gone, changes nothing.
+                            // An invalid or missing file leaves the current configuration in force.
                             match read() {
                                 Ok(new) => {
                                     reloads.applied += 1;
@@ -267,14 +273,14 @@
                                     cx.log.line(now, "reload-failed", e);
                                 }
                             }
-                        } else if let Some(by) =
-                            cx.lifecycle.stop(now, serving.as_ref().is_some_and(Serving::is_taken_over))
+                        } else if let Some(answer_deadline) =
+                            cx.lifecycle.stop(now, pid_file.as_ref().is_some_and(PidFile::is_taken_over))
                         {
-                            let owed = cx.engine.unanswered_calls();
-                            cx.log.line(now, "stopping", format_args!("{owed} answers owed"));
-                            cx.engine.stop(by, cx.timers);
+                            let unanswered = cx.engine.unanswered_calls();
+                            cx.log.line(now, "stopping", format_args!("{unanswered} answers owed"));
+                            cx.engine.stop(answer_deadline, cx.timers);
                             if cx.lifecycle.yields_listener() {
-                                clients.leave_door(&mut cx);
+                                clients.close_listener(&mut cx);
                             }
                         }
                     }
@@ -286,51 +292,63 @@
                     let Some(operators) = operators.as_mut() else {
                         continue;
                     };
-                    if let Some(call) = operators.ready(token, &mut cx) {
-                        let answer = answer(call, reloads, &mut cx);
+                    if let Some(command) = operators.ready(token, &mut cx) {
+                        let answer = execute_operator_command(command, reloads, &mut cx);
                         operators.answer(token, &answer, &mut cx);
                     }
                 }
                 (None, _) => {}
             }
         }
-        for change in changes.drain(..) {
-            let lines: Vec<_> = change.lines.iter().map(|(l, _)| l.clone()).collect();
-            cx.engine.update_list(now, change.full, &lines, cx.timers);
-            let by_sip = |n| sip.as_ref().is_some_and(|s| s.serves(n));
-            let by_lines = |n: ExchangeNumber| Some(n) != local && !by_sip(n);
-            let mut named = Vec::new();
-            for (listed, addr) in &change.lines {
-                if let Some(id) = cx.engine.exchange(&listed.name).filter(|_| by_lines(listed.number)) {
-                    named.push(id);
+        for list_event in list_events.drain(..) {
+            let lines: Vec<_> = list_event.lines.iter().map(|(l, _)| l.clone()).collect();
+            cx.engine.update_list(now, list_event.full, &lines, cx.timers);
+            let is_served_by_sip = |n| sip.as_ref().is_some_and(|s| s.serves(n));
+            let is_json_exchange = |n: ExchangeNumber| Some(n) != local && !is_served_by_sip(n);
+            let mut listed_exchanges = Vec::new();
+            for (listed, addr) in &list_event.lines {
+                if let Some(id) =
+                    cx.engine.exchange(&listed.name).filter(|_| is_json_exchange(listed.number))
+                {
+                    listed_exchanges.push(id);
                     exchanges.listed(id, *addr, listed.phase, &mut cx);
                 }
             }
-            if change.full {
-                exchanges.keep_only(&named, &mut cx);
+            if list_event.full {
+                exchanges.remove_unlisted(&listed_exchanges, &mut cx);
             }
             cx.engine.remove_gone();
-            cx.log.line(now, "list", format_args!("event {}, {} lines", change.position, lines.len()));
+            cx.log.line(
+                now,
+                "list",
+                format_args!("event {}, {} lines", list_event.position, lines.len()),
+            );
         }
         while let Some(due) = cx.timers.pop_due(now) {
             match due {
                 TimerEvent::Engine(due) => cx.engine.timer_due(now, due, cx.timers),
-                TimerEvent::Accept => clients.accept_due(&mut cx),
-                TimerEvent::Client(token) => clients.due(token, &mut cx),
-                TimerEvent::PartialMessage(token) => exchanges.part_due(token, &mut cx),
-                TimerEvent::CloseTimeout(token) => exchanges.closing_due(token, &mut cx),
-                TimerEvent::DialTimeout(token) => exchanges.dial_due(token, &mut cx),
+                TimerEvent::ClientAccept => clients.resume_accepting(&mut cx),
+                TimerEvent::ClientTimeout(token) => clients.timeout_due(token, &mut cx),
+                TimerEvent::PartialMessage(token) => exchanges.partial_message_due(token, &mut cx),
+                TimerEvent::CloseTimeout(token) => exchanges.close_timeout_due(token, &mut cx),
+                TimerEvent::DialTimeout(token) => exchanges.dial_timeout_due(token, &mut cx),
                 TimerEvent::Redial(exchange) => exchanges.redial_due(exchange, &mut cx),
-                TimerEvent::JournalAgain(turn) => journal.again_due(turn, &mut cx),
-                TimerEvent::JournalDial(turn) => journal.dial_due(turn, &mut cx),
-                TimerEvent::JournalSilent(turn) => journal.silent_due(turn, &mut cx),
+                TimerEvent::JournalRedial(generation) => journal.redial_due(generation, &mut cx),
+                TimerEvent::JournalDialTimeout(generation) => {
+                    journal.dial_timeout_due(generation, &mut cx)
+                }
+                TimerEvent::JournalIdleTimeout(generation) => {
+                    journal.idle_timeout_due(generation, &mut cx)
+                }
                 TimerEvent::Sip(due) => sip.iter_mut().for_each(|s| s.due(due, &mut cx)),
                 TimerEvent::SipAccept => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
                 TimerEvent::SipStream(token) => {
                     sip.iter_mut().for_each(|s| s.stream_due(token, &mut cx))
                 }
                 TimerEvent::OperatorAccept => operators.iter_mut().for_each(|o| o.accept(&mut cx)),
-                TimerEvent::Operator(token) => operators.iter_mut().for_each(|o| o.due(token, &mut cx)),
+                TimerEvent::OperatorTimeout(token) => {
+                    operators.iter_mut().for_each(|o| o.timeout_due(token, &mut cx))
+                }
             }
         }
         if cx.lifecycle.abandons_calls(now) {
@@ -340,11 +358,11 @@
             sip.iter_mut().for_each(|s| s.end_dialogs(&mut cx));
         }
         loop {
-            while let Some(upkeep) = cx.engine.next_connection_request() {
-                let number = cx.engine.number(upkeep.exchange());
+            while let Some(request) = cx.engine.next_connection_request() {
+                let number = cx.engine.number(request.exchange());
                 match sip.as_mut().filter(|s| number.is_some_and(|n| s.serves(n))) {
-                    Some(sip) => sip.upkeep(upkeep, &mut cx),
-                    None => exchanges.upkeep(upkeep, &mut cx),
+                    Some(sip) => sip.upkeep(request, &mut cx),
+                    None => exchanges.handle_connection_request(request, &mut cx),
                 }
             }
             while let Some(command) = cx.engine.next_command() {
@@ -352,7 +370,7 @@
                     Command::SetUp { exchange, .. } => cx.engine.number(*exchange),
                     _ => None,
                 };
-                let by_sip = |s: &&mut Sip| match &command {
+                let is_sip_command = |s: &&mut Sip| match &command {
                     Command::SetUp { .. } => number.is_some_and(|n| s.serves(n)),
                     Command::CancelAttempt(a)
                     | Command::ReleaseExchange(a, _)
@@ -360,7 +378,7 @@
                     Command::Answer(c, _) | Command::Refuse(c, _) => s.owns(*c),
                     Command::Fail(c) | Command::ReleaseCaller(c, _) => s.owns(*c),
                 };
-                match sip.as_mut().filter(by_sip) {
+                match sip.as_mut().filter(is_sip_command) {
                     Some(sip) => sip.command(command, number, &mut cx),
                     None if command.is_for_caller() => clients.command(command, &mut cx),
                     None => exchanges.command(command, &mut cx),
@@ -373,17 +391,18 @@
                 break;
             }
         }
-        while let Some(notice) = cx.engine.next_log_event() {
-            cx.log.line_limited(now, notice.kind(), notice.max_lines(), &notice);
+        while let Some(log_event) = cx.engine.next_log_event() {
+            cx.log.line_limited(now, log_event.kind(), log_event.max_lines(), &log_event);
         }
         if cx.lifecycle.may_end(now) && cx.engine.unanswered_calls() == 0 {
             let sip_settled = sip.as_ref().is_none_or(Sip::is_settled);
-            let told = operators.as_ref().is_none_or(Operators::is_flushed);
-            let flushed = clients.is_flushed() && exchanges.is_flushed() && sip_settled && told;
-            let gone = !cx.lifecycle.yields_listener() || clients.is_empty();
-            let over = cx.lifecycle.abandons_calls(now)
-                || cx.engine.established_calls() == 0 && !clients.is_asked();
-            if flushed && gone && over || cx.lifecycle.must_end(now) {
+            let operators_flushed = operators.as_ref().is_none_or(Operators::is_flushed);
+            let is_flushed =
+                clients.is_flushed() && exchanges.is_flushed() && sip_settled && operators_flushed;
+            let clients_done = !cx.lifecycle.yields_listener() || clients.is_empty();
+            let calls_finished = cx.lifecycle.abandons_calls(now)
+                || cx.engine.established_calls() == 0 && !clients.has_partial_message();
+            if is_flushed && clients_done && calls_finished || cx.lifecycle.must_end(now) {
                 cx.log.line(
                     now,
                     "stopped",
@@ -393,44 +412,46 @@
             }
         }
         lifecycle = cx.lifecycle;
-        let next = timers.next_due().into_iter().chain(lifecycle.next_step(now)).min();
-        let wait = next.map(|at| at.saturating_sub(clock.now()));
-        // Rounded up, since a poll that ends early would only spin.
-        let wait = wait.map(|w| w + Duration::from_micros(999)).map(|w| w.min(Duration::from_secs(1)));
-        // Who has more to say than a turn allows goes on once the others have been heard.
+        let next_wakeup = timers.next_due().into_iter().chain(lifecycle.next_step(now)).min();
+        let timeout = next_wakeup.map(|at| at.saturating_sub(clock.now()));
+        // Round up to a whole millisecond, because a poll that returns before the timer is due causes a busy
+        // loop.
+        let timeout =
+            timeout.map(|w| w + Duration::from_micros(999)).map(|w| w.min(Duration::from_secs(1)));
+        // Do not block while data or connections are left over from this iteration.
         let unread = clients.has_unread() || exchanges.has_unread();
         let unread = unread || operators.as_ref().is_some_and(Operators::has_unread);
         let unread = unread || sip.as_ref().is_some_and(Sip::has_unread);
-        let wait = if unread { Some(Duration::ZERO) } else { wait };
-        match poll.poll(&mut events, wait) {
+        let timeout = if unread { Some(Duration::ZERO) } else { timeout };
+        match poll.poll(&mut events, timeout) {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             other => other?,
         }
     }
 }
 
-/// Names the key whose address or descriptor can't be used.
-fn named(key: &str) -> impl Fn(io::Error) -> io::Error + '_ {
+/// Prefixes an I/O error with the configuration key or environment variable that caused it.
+fn error_with_key(key: &str) -> impl Fn(io::Error) -> io::Error + '_ {
     move |e| io::Error::new(e.kind(), format!("{key}: {e}"))
 }
 
-/// Carries out what an operator asks for; the answer.
-fn answer(call: Call, reloads: Reloads, cx: &mut Context) -> String {
+/// Executes an operator's command and returns the answer.
+fn execute_operator_command(command: OperatorCommand, reloads: Reloads, cx: &mut Context) -> String {
     let now = cx.now;
-    match call {
-        Call::Health if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
-        Call::Health => "done\n".to_owned(),
-        Call::Dump => {
+    match command {
+        OperatorCommand::Health if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
+        OperatorCommand::Health => "done\n".to_owned(),
+        OperatorCommand::Dump => {
             format!("{}\nend\n", stats::json(&cx.engine.stats(), reloads, &cx.wire.classes))
         }
-        Call::Leave => {
+        OperatorCommand::Leave => {
             cx.log.line(now, "drained", format_args!("{} answers owed", cx.engine.unanswered_calls()));
             cx.lifecycle.drain(now);
             "done\n".to_owned()
         }
-        Call::Join if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
-        Call::Join => {
-            cx.log.line(now, "joined", "at work again");
+        OperatorCommand::Join if cx.lifecycle.is_stopping() => "error stopping\n".to_owned(),
+        OperatorCommand::Join => {
+            cx.log.line(now, "joined", "in service again");
             cx.lifecycle.join();
             "done\n".to_owned()
         }
--- a/node/src/net/operators.rs
+++ b/node/src/net/operators.rs
@@ -1,4 +1,4 @@
-//! Where operators call: one line a connection, answered at once.
+//! The operators' interface: each connection carries one command line, which is answered at once.
 
 use super::conn::Conn;
 use super::{Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
@@ -11,51 +11,53 @@
 use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
 
-/// Wait before accepting again when there is no descriptor.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before accepting again after an accept error, such as a lack of descriptors, when no connection can
+/// be closed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What an operator may ask for.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Whether the process takes clients.
+pub enum OperatorCommand {
+    /// Reports whether the process is in service.
     Health,
-    /// The figures.
+    /// Reports the statistics.
     Dump,
-    /// Drain: no new work.
+    /// Starts a drain.
     Leave,
-    /// Back to work.
+    /// Ends a drain.
     Join,
 }
 
-impl Call {
+impl OperatorCommand {
     fn read(line: &[u8]) -> Option<Self> {
         match line.trim_ascii() {
-            b"HEALTH" => Some(Call::Health),
-            b"DUMP" => Some(Call::Dump),
-            b"LEAVE" => Some(Call::Leave),
-            b"JOIN" => Some(Call::Join),
+            b"HEALTH" => Some(OperatorCommand::Health),
+            b"DUMP" => Some(OperatorCommand::Dump),
+            b"LEAVE" => Some(OperatorCommand::Leave),
+            b"JOIN" => Some(OperatorCommand::Join),
             _ => None,
         }
     }
 }
 
+/// One operator connection.
 struct Operator {
     conn: Conn,
-    since: Duration,
+    accepted_at: Duration,
     answered: bool,
 }
 
-/// The second address to listen on, and the connections there.
+/// The listener for operators and its connections.
 pub struct Operators {
     listener: TcpListener,
     limits: Limits,
     conns: Arena<Operator>,
-    /// More may wait to be accepted than one turn allows.
+    /// Whether more connections may be pending on the listener after the last iteration.
     unaccepted: bool,
 }
 
 impl Operators {
-    /// Listens.
+    /// Binds the listener and registers it.
     pub fn bind(addr: SocketAddr, limits: Limits, registry: &Registry) -> io::Result<Self> {
         let mut listener = TcpListener::bind(addr)?;
         let token = SourceKind::OperatorListener.token(Token::from_bits(0));
@@ -63,24 +65,25 @@
         Ok(Operators { listener, limits, conns: Arena::default(), unaccepted: false })
     }
 
-    /// Where it listens.
-    pub fn listens(&self) -> io::Result<SocketAddr> {
+    /// The address of the listener.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Whether more wait to be accepted than the last turn allowed.
+    /// Whether connections may be pending, left over from the last iteration.
     pub fn has_unread(&self) -> bool {
         self.unaccepted
     }
 
-    /// Accepts on where the last turn left off.
+    /// Accepts the connections left over from the last iteration.
     pub fn read_on(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.unaccepted) {
             self.accept(cx);
         }
     }
 
-    /// Accepts those that wait. Whoever was there longest makes way: nobody who asks stays for long.
+    /// Accepts pending connections. If there is no room, a connection is closed: answered ones first, then
+    /// the oldest, because no operator needs a connection for long.
     pub fn accept(&mut self, cx: &mut Context) {
         for _ in 0..ACCEPT_BATCH {
             match self.listener.accept() {
@@ -90,8 +93,8 @@
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     cx.log.line(cx.now, "operator-accept-failed", e);
-                    if !self.make_way(cx) {
-                        cx.timers.schedule(cx.now + ACCEPT_AGAIN, TimerEvent::OperatorAccept);
+                    if !self.evict_connection(cx) {
+                        cx.timers.schedule(cx.now + ACCEPT_RETRY_DELAY, TimerEvent::OperatorAccept);
                         return;
                     }
                 }
@@ -100,31 +103,34 @@
         self.unaccepted = true;
     }
 
-    fn make_way(&mut self, cx: &mut Context) -> bool {
-        let oldest = self.conns.iter().min_by_key(|(_, o)| (!o.answered, o.since));
+    fn evict_connection(&mut self, cx: &mut Context) -> bool {
+        let oldest = self.conns.iter().min_by_key(|(_, o)| (!o.answered, o.accepted_at));
         let oldest = oldest.map(|(token, _)| token);
         oldest.is_some_and(|token| self.end(token, cx))
     }
 
     fn add(&mut self, mut stream: TcpStream, cx: &mut Context) {
         if self.conns.len() >= self.limits.operators() {
-            self.make_way(cx);
+            self.evict_connection(cx);
         }
-        let (registry, bounds, since) = (cx.registry, self.limits.operator_buffer_limits(), cx.now);
+        let (registry, buffer_limits, accepted_at) =
+            (cx.registry, self.limits.operator_buffer_limits(), cx.now);
         let mut registered = Ok(());
         let token = self.conns.insert_with(|token| {
-            let both = Interest::READABLE | Interest::WRITABLE;
-            registered = registry.register(&mut stream, SourceKind::Operator.token(token), both);
-            Operator { conn: Conn::new(stream, bounds, true), since, answered: false }
+            let interests = Interest::READABLE | Interest::WRITABLE;
+            registered = registry.register(&mut stream, SourceKind::Operator.token(token), interests);
+            Operator { conn: Conn::new(stream, buffer_limits, true), accepted_at, answered: false }
         });
         match registered {
-            Ok(()) => cx.timers.schedule(since + MESSAGE_TIMEOUT, TimerEvent::Operator(token)),
+            Ok(()) => {
+                cx.timers.schedule(accepted_at + MESSAGE_TIMEOUT, TimerEvent::OperatorTimeout(token))
+            }
             Err(_) => drop(self.conns.remove(token)),
         }
     }
 
-    /// Nobody has until now to ask and to take the answer.
-    pub fn due(&mut self, token: Token, cx: &mut Context) {
+    /// Handles the timeout of a connection: a command and its answer take less than this time.
+    pub fn timeout_due(&mut self, token: Token, cx: &mut Context) {
         self.end(token, cx);
     }
 
@@ -133,10 +139,10 @@
         ended.map(|mut o| cx.registry.deregister(&mut o.conn.stream)).is_some()
     }
 
-    /// A connection can be read or written. What was asked for, if a call is whole.
-    pub fn ready(&mut self, token: Token, cx: &mut Context) -> Option<Call> {
+    /// Handles an event on a connection, readable or writable, and returns the command once it is complete.
+    pub fn ready(&mut self, token: Token, cx: &mut Context) -> Option<OperatorCommand> {
         match self.read(token) {
-            Ok(call) => call,
+            Ok(command) => command,
             Err(_) => {
                 self.end(token, cx);
                 None
@@ -144,23 +150,23 @@
         }
     }
 
-    fn read(&mut self, token: Token) -> Result<Option<Call>, EndReason> {
+    fn read(&mut self, token: Token) -> Result<Option<OperatorCommand>, EndReason> {
         let Some(operator) = self.conns.get_mut(token) else {
             return Ok(None);
         };
         operator.conn.flush()?;
-        operator.hang_up()?;
+        operator.shutdown_if_answered()?;
         let read = operator.conn.fill();
         if operator.answered {
-            // Whatever else is said is passed over, until the other side closes.
+            // Discard further input until the peer closes the connection.
             operator.conn.received().clear();
             return read.map(|_| None);
         }
         let Some(line) = operator.conn.next_line()? else {
             return read.map(|_| None);
         };
-        match Call::read(&line) {
-            Some(call) => Ok(Some(call)),
+        match OperatorCommand::read(&line) {
+            Some(command) => Ok(Some(command)),
             None => {
                 operator.answer("error unknown call\n")?;
                 Ok(None)
@@ -168,14 +174,14 @@
         }
     }
 
-    /// Answers a call and ends the connection.
+    /// Sends the answer to a command and shuts down the send direction.
     pub fn answer(&mut self, token: Token, text: &str, cx: &mut Context) {
         if self.conns.get_mut(token).is_some_and(|o| o.answer(text).is_err()) {
             self.end(token, cx);
         }
     }
 
-    /// Whether all answers have been written.
+    /// Whether the send buffers of all operators are empty.
     pub fn is_flushed(&self) -> bool {
         self.conns.iter().all(|(_, o)| o.conn.is_flushed())
     }
@@ -185,12 +191,12 @@
     fn answer(&mut self, text: &str) -> Result<(), EndReason> {
         self.answered = true;
         self.conn.send(text.as_bytes())?;
-        self.hang_up()
+        self.shutdown_if_answered()
     }
 
-    /// Ends the own direction once the answer is written. The other side closes then; to close first could reset
-    /// the connection before the answer is read.
-    fn hang_up(&mut self) -> Result<(), EndReason> {
+    /// Shuts down the send direction once the answer is written. The peer then closes the connection. If this
+    /// side closed it first, it could be reset before the peer reads the answer.
+    fn shutdown_if_answered(&mut self) -> Result<(), EndReason> {
         if self.answered && self.conn.is_flushed() {
             self.conn.stream.shutdown(Shutdown::Write).map_err(|_| EndReason::ConnectionBroken)?;
         }
