--- a/node/src/net/lines.rs
+++ b/node/src/net/lines.rs
@@ -124,6 +124,8 @@
 mod tests {
     use super::*;
 
+    /// Guards against an encoding that loses or changes text, such as quotes, control characters or characters
+    /// beyond ASCII.
     #[test]
     fn an_encoded_message_parses_to_the_same_fields() {
         let description = "9d41\r\nc=IN IP4 10.4.7.9\r\n\"q\" \\ \u{7} \u{1F4DE}";
