--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -1,8 +1,10 @@
-//! The life of every call, on no wire in particular: neutral events in, neutral commands out.
+//! The state machine of every call, independent of the protocol: it takes protocol-neutral events and returns
+//! protocol-neutral commands.
 //!
-//! The engine owns the [`Controller`] and carries out what it decides. Whatever the controller or a front
-//! says, it holds to what the rules ask of any front: one final answer before the caller gives up, one
-//! attempt out, the wait for release, and nothing new to an exchange that drains or is gone.
+//! The engine owns the [`Controller`] and carries out its decisions. It enforces the rules that hold for
+//! every protocol front, whatever the controller decides or a front reports: each call gets one final answer,
+//! before its caller gives up; each call has at most one pending attempt; the release delay passes before a
+//! call is set up again; and an exchange that is draining or gone gets no new set-up.
 
 mod liveness;
 
@@ -18,12 +20,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The final answer is written this long before the caller gives up at the latest.
-const ANSWER_MARGIN: Duration = Duration::from_millis(25);
-/// A processor has one line. A direct set-up that this many sent later have overtaken, each by this time at least,
-/// will have no answer: it was lost or held up on its way back.
-const OVERTAKEN_BY: u32 = 4;
-const SENT_LATER: Duration = Duration::from_millis(20);
+/// The final answer is written at least this long before the caller gives up.
+const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(25);
+/// A pending direct set-up (one that was sent to the destination itself, not to a tandem) is cancelled once
+/// this many direct set-ups that were sent later have been answered. A processor answers set-ups one at a
+/// time and in order, so the missing answer was lost or delayed on the way back.
+const MIN_OVERTAKING_SET_UPS: u32 = 4;
+/// A set-up counts as overtaking only if it was sent at least this long after the pending one.
+const MIN_OVERTAKING_DELAY: Duration = Duration::from_millis(20);
 
 /// A call in the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,11 +42,11 @@
 pub struct CallInfo {
     /// The caller's id of the call.
     pub id: String,
-    /// The class, by name.
+    /// The name of the class.
     pub class: String,
-    /// The number called, as written.
+    /// The dialled number, as the caller wrote it.
     pub key: String,
-    /// The description.
+    /// The caller's session description.
     pub description: String,
 }
 
@@ -51,54 +55,54 @@
 pub struct IncomingCall {
     /// Details forwarded unchanged.
     pub info: Rc<CallInfo>,
-    /// Its class, by position in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// The number called.
+    /// The number that the caller dialled.
     pub dialled: DialledNumber,
     /// How long the caller waits from now.
     pub patience: Duration,
-    /// Where it goes.
+    /// The number of the exchange that serves the dialled number.
     pub destination: ExchangeNumber,
-    /// Circuits it takes.
+    /// Number of circuits that the call occupies.
     pub circuits: u32,
     /// The tandem suggested by a central service.
     pub route_hint: Option<ExchangeNumber>,
-    /// Where it comes from.
+    /// Where the call comes from.
     pub origin: Origin,
 }
 
-/// What the engine wants of the fronts, in this order.
+/// An instruction of the engine to the protocol fronts. Commands are carried out in the order of issue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send the set-up to the exchange.
     SetUp {
-        /// The attempt that it starts.
+        /// The attempt that this command starts.
         attempt: AttemptToken,
-        /// Where to.
+        /// The exchange that receives the set-up.
         exchange: ExchangeId,
         /// Details forwarded unchanged.
         info: Rc<CallInfo>,
-        /// How long the answer is waited for.
+        /// How long to wait for the answer.
         wait: Duration,
     },
     /// Cancel an unanswered attempt.
     CancelAttempt(AttemptToken),
-    /// Release a call that stands towards the exchange.
+    /// Send the exchange a release of an established call.
     ReleaseExchange(AttemptToken, ReleaseCause),
-    /// Discard the state of an attempt: its call is lost, and the exchange need not be told.
+    /// Discard the state of an attempt without a message to the exchange: its call was lost there.
     ForgetAttempt(AttemptToken),
-    /// Final answer: the call stands, with the exchange's description.
+    /// Final answer: the call is established, with the exchange's session description.
     Answer(CallToken, String),
-    /// Final answer: refused, with the time to stay away.
+    /// Final answer: refused, with the retry-after time.
     Refuse(CallToken, Option<Duration>),
     /// Final answer: failed.
     Fail(CallToken),
-    /// Release a call that stood towards the caller.
+    /// Send the caller a release of a call that was established.
     ReleaseCaller(CallToken, ReleaseCause),
 }
 
 impl Command {
-    /// Whether it goes to the caller's front, not to the exchange's.
+    /// Whether the front of the caller carries out the command; otherwise the front of the exchange does.
     pub fn is_for_caller(&self) -> bool {
         use Command::*;
         matches!(self, Answer(..) | Refuse(..) | Fail(_) | ReleaseCaller(..))
@@ -130,7 +134,7 @@
 /// Number of calls of one class by final answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResultCounts {
-    /// The call stood.
+    /// Established.
     pub succeeded: u64,
     /// Refused.
     pub declined: u64,
@@ -143,25 +147,25 @@
 pub struct Stats {
     /// Final answers, by class.
     pub results: Vec<ResultCounts>,
-    /// Set-ups written whole to exchanges.
+    /// Set-ups that were written completely to exchanges.
     pub forwards: u64,
-    /// Calls taken and not ended.
+    /// Calls that were accepted and have not ended.
     pub outstanding: usize,
     /// Exchanges in the list.
     pub discovered: usize,
-    /// Of these the ones that the controller avoids.
+    /// Exchanges in the list that the controller avoids.
     pub ejected: usize,
     /// Established calls.
     pub established: usize,
-    /// Calls that stood and whose callers were told of their end, by why they were over.
+    /// Established calls that were released towards their callers, by the reason for the release.
     pub releases: BTreeMap<&'static str, u64>,
-    /// Set-ups that ended without an answer, by how.
+    /// Set-ups that ended without an answer, by the reason.
     pub attempt_ends: BTreeMap<&'static str, u64>,
     /// Set-ups that were not the first of their call.
     pub retries: u64,
-    /// Checks of exchanges at which calls stand and that were silent.
+    /// Liveness checks of exchanges that had established calls and were silent.
     pub checks: u64,
-    /// Observations that spoke against the life of an exchange.
+    /// Observations that indicated that an exchange had failed.
     pub adverse_observations: u64,
 }
 
@@ -170,12 +174,13 @@
     info: Rc<CallInfo>,
     class: usize,
     destination: ExchangeNumber,
-    /// The final answer has been given before then.
+    /// Deadline for the final answer.
     answer_by: Duration,
-    /// No set-up before then, after an attempt that may still hold what it took.
+    /// No set-up is sent before this time, as an earlier attempt may still occupy circuits.
     not_before: Duration,
-    /// Attempts so far, and the one that is out or stands.
+    /// Number of attempts so far.
     attempts: u32,
+    /// The attempt that is pending or established.
     attempt: Option<AttemptToken>,
     /// How the last attempt ended.
     last_end: Option<EndReason>,
@@ -186,14 +191,16 @@
     call: CallToken,
     exchange: ExchangeId,
     number: u32,
-    sent: Duration,
-    stands: bool,
-    /// When it was answered, and by which process.
-    stood: Duration,
+    sent_at: Duration,
+    is_established: bool,
+    /// When it was answered.
+    answered_at: Duration,
+    /// The process that answered it.
     incarnation: Incarnation,
-    /// It went to its destination; how many later ones that did have been answered since.
-    direct: bool,
-    overtaken: u32,
+    /// Whether the set-up went to the destination itself, not to a tandem.
+    is_direct: bool,
+    /// Number of direct set-ups that were sent later and answered earlier.
+    overtaking_answers: u32,
 }
 
 #[derive(Debug)]
@@ -203,26 +210,26 @@
     phase: Phase,
     started_at: Duration,
     liveness: Liveness,
-    /// A review is due in time.
-    is_watched: bool,
+    /// Whether a liveness review is scheduled.
+    is_review_scheduled: bool,
 }
 
-/// The engine.
+/// Tracks every call, its attempts and the exchanges, and carries out the decisions of the controller.
 pub struct Engine {
     controller: Controller,
-    /// The longest that a refused caller may be told to stay away.
+    /// Longest retry-after that a refused caller may get.
     max_retry_after: Duration,
     calls: Arena<Call>,
     attempts: Arena<Attempt>,
-    /// Those of the list, and those gone on which an attempt is still out.
+    /// The exchanges in the list, and those that are gone but still have an attempt.
     exchanges: BTreeMap<ExchangeId, Exchange>,
     names: HashMap<String, ExchangeId>,
     next_exchange: u32,
-    /// Events for the controller that came up while others were handled.
+    /// Events that the controller has not handled yet; handling one event may cause more.
     pending: VecDeque<Event>,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// After a planned stop was asked for: no answer is owed beyond this.
+    /// During a graceful shutdown: every call gets its final answer before this time.
     stop_by: Option<Duration>,
     results: Vec<ResultCounts>,
     forwards: u64,
@@ -231,14 +238,14 @@
     retries: u64,
     checks: u64,
     adverse_observations: u64,
-    /// What the log has not been told yet.
+    /// Events that are not written to the log yet.
     log_events: VecDeque<LogEvent>,
-    /// What is wanted of the connections to exchanges.
+    /// Requests that the fronts have not handled yet.
     connection_requests: VecDeque<ConnectionRequest>,
 }
 
 impl Engine {
-    /// An engine without calls.
+    /// Creates an engine without calls.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let max_retry_after = settings.max_retry_after;
         let results = vec![ResultCounts::default(); settings.classes.len()];
@@ -271,7 +278,7 @@
         Some(self.max_retry_after).filter(|s| !s.is_zero())
     }
 
-    /// Whether a command waits to be carried out.
+    /// Whether any command is still to be carried out.
     pub fn has_commands(&self) -> bool {
         !self.commands.is_empty()
     }
@@ -288,13 +295,14 @@
 
     /// Number of calls without a final answer.
     pub fn unanswered_calls(&self) -> usize {
-        let stands = |c: &Call| c.attempt.and_then(|a| self.attempts.get(a.0)).is_some_and(|a| a.stands);
-        self.calls.iter().filter(|(_, c)| !stands(c)).count()
+        let is_established =
+            |c: &Call| c.attempt.and_then(|a| self.attempts.get(a.0)).is_some_and(|a| a.is_established);
+        self.calls.iter().filter(|(_, c)| !is_established(c)).count()
     }
 
     /// Number of established calls.
     pub fn established_calls(&self) -> usize {
-        self.attempts.iter().filter(|(_, a)| a.stands).count()
+        self.attempts.iter().filter(|(_, a)| a.is_established).count()
     }
 
     /// Number of exchanges that are tracked.
@@ -335,12 +343,12 @@
         }
     }
 
-    /// The exchange of a name, if the list has it.
+    /// The exchange of this name, if it is known.
     pub fn exchange(&self, name: &str) -> Option<ExchangeId> {
         self.names.get(name).copied()
     }
 
-    /// The name of an exchange.
+    /// The name of an exchange; `?` if it is not known.
     pub fn name(&self, exchange: ExchangeId) -> &str {
         self.exchanges.get(&exchange).map_or("?", |e| &e.name)
     }
@@ -350,7 +358,7 @@
         self.exchanges.get(&exchange).map(|e| e.number)
     }
 
-    /// A planned stop: all calls that are owed an answer get one before `by`.
+    /// Starts a graceful shutdown: every call without a final answer gets one before `by`.
     pub fn stop<D: From<EngineTimer>>(&mut self, by: Duration, timers: &mut TimerQueue<D>) {
         self.stop_by = Some(by);
         for (token, _) in self.calls.iter() {
@@ -366,7 +374,8 @@
         timers: &mut TimerQueue<D>,
     ) -> CallToken {
         let limit = self.stop_by.unwrap_or(Duration::MAX);
-        let answer_by = now.saturating_add(new.patience).saturating_sub(ANSWER_MARGIN).min(limit);
+        let answer_by =
+            now.saturating_add(new.patience).saturating_sub(ANSWER_DEADLINE_MARGIN).min(limit);
         let answer_by = answer_by.max(now);
         let call = CallToken(self.calls.insert(Call {
             info: new.info,
@@ -390,7 +399,7 @@
             route_hint: new.route_hint,
             origin: new.origin,
         });
-        self.tell(now, event, timers);
+        self.handle_event(now, event, timers);
         call
     }
 
@@ -401,12 +410,12 @@
         call: CallToken,
         timers: &mut TimerQueue<D>,
     ) {
-        let Some(c) = self.calls.get(call.0) else {
+        let Some(state) = self.calls.get(call.0) else {
             return;
         };
-        let attempt = c.attempt;
+        let attempt = state.attempt;
         match attempt.and_then(|a| self.attempts.get(a.0)) {
-            Some(a) if a.stands => {
+            Some(attempt_state) if attempt_state.is_established => {
                 self.calls.remove(call.0);
                 self.end_attempt(now, attempt, EndReason::Cancelled, true, timers);
             }
@@ -418,8 +427,9 @@
         }
     }
 
-    /// The exchange has answered: the call stands. False if the attempt is over or stood before. `by`: the process
-    /// that the answer's connection leads to; the newest, where fronts don't tell processes apart.
+    /// The exchange has answered: the call is established. Returns false if the attempt has ended or was
+    /// answered before. `by` is the process at the other end of the answer's connection; a front that does
+    /// not distinguish processes passes `None`, and the newest process is assumed.
     pub fn answered<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -428,47 +438,58 @@
         description: String,
         timers: &mut TimerQueue<D>,
     ) -> bool {
-        let Some(a) = self.attempts.get_mut(attempt.0).filter(|a| !a.stands) else {
+        let Some(state) = self.attempts.get_mut(attempt.0).filter(|state| !state.is_established) else {
             return false;
         };
-        (a.stands, a.stood) = (true, now);
-        if let Some(e) = self.exchanges.get_mut(&a.exchange) {
-            a.incarnation = by.unwrap_or_else(|| e.liveness.newest(now));
-            e.liveness.record_activity(now, a.incarnation);
+        (state.is_established, state.answered_at) = (true, now);
+        if let Some(entry) = self.exchanges.get_mut(&state.exchange) {
+            state.incarnation = by.unwrap_or_else(|| entry.liveness.newest(now));
+            entry.liveness.record_activity(now, state.incarnation);
         }
-        let (call, number, delay) = (a.call, a.number, now.saturating_sub(a.sent));
-        let (exchange, sent, direct) = (a.exchange, a.sent, a.direct);
+        let (call, number, delay) = (state.call, state.number, now.saturating_sub(state.sent_at));
+        let (exchange, sent_at, is_direct) = (state.exchange, state.sent_at, state.is_direct);
         self.commands.push_back(Command::Answer(call, description));
         if let Some(class) = self.calls.get(call.0).map(|c| c.class) {
             self.count(class, |r| &mut r.succeeded);
         }
-        if direct {
-            self.overtake(now, exchange, sent);
+        if is_direct {
+            self.cancel_overtaken(now, exchange, sent_at);
         }
-        self.tell(now, Event::Answered { call: CallId(call.0.bits()), attempt: number, delay }, timers);
-        self.watch(now, exchange, timers);
+        self.handle_event(
+            now,
+            Event::Answered { call: CallId(call.0.bits()), attempt: number, delay },
+            timers,
+        );
+        self.ensure_review_scheduled(now, exchange, timers);
         true
     }
 
-    /// A direct set-up was answered: those sent before it to the same exchange should have been.
-    fn overtake(&mut self, now: Duration, exchange: ExchangeId, sent: Duration) {
-        let mut lost = Vec::new();
-        for (token, a) in self.attempts.iter_mut() {
-            if a.exchange == exchange && a.direct && !a.stands && a.sent + SENT_LATER <= sent {
-                a.overtaken += 1;
-                if a.overtaken >= OVERTAKEN_BY {
-                    lost.push(AttemptToken(token));
+    /// A direct set-up sent at `sent_at` was answered: counts it against each direct set-up that was sent to
+    /// the same exchange earlier and is pending, and cancels those that [`MIN_OVERTAKING_SET_UPS`] have
+    /// overtaken.
+    fn cancel_overtaken(&mut self, now: Duration, exchange: ExchangeId, sent_at: Duration) {
+        let mut overtaken = Vec::new();
+        for (token, other) in self.attempts.iter_mut() {
+            if other.exchange == exchange
+                && other.is_direct
+                && !other.is_established
+                && other.sent_at + MIN_OVERTAKING_DELAY <= sent_at
+            {
+                other.overtaking_answers += 1;
+                if other.overtaking_answers >= MIN_OVERTAKING_SET_UPS {
+                    overtaken.push(AttemptToken(token));
                 }
             }
         }
-        for attempt in lost {
+        for attempt in overtaken {
             self.commands.push_back(Command::CancelAttempt(attempt));
-            self.attempts_over(now, attempt, EndReason::Overtaken, false);
+            self.remove_attempt(now, attempt, EndReason::Overtaken, false);
         }
     }
 
-    /// An attempt, out or standing, has ended at the exchange or with its connection. A connection that
-    /// ends takes with it only what has not been answered: what stands belongs to no connection.
+    /// A pending or established attempt was ended by the exchange or by the end of its connection. Fronts
+    /// report the end of a connection for its pending attempts only, as an established call is not tied to a
+    /// connection.
     pub fn attempt_ended<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -476,46 +497,47 @@
         end: EndReason,
         timers: &mut TimerQueue<D>,
     ) {
-        let Some(a) = self.attempts.get(attempt.0) else {
+        let Some(state) = self.attempts.get(attempt.0) else {
             return;
         };
-        if a.stands {
-            let call = a.call;
+        if state.is_established {
+            let call = state.call;
             let cause =
                 if end == EndReason::Ended { ReleaseCause::Normal } else { ReleaseCause::Dropped };
-            self.note_release(now, attempt, end);
+            self.record_release(now, attempt, end);
             self.calls.remove(call.0);
             self.commands.push_back(Command::ReleaseCaller(call, cause));
-            self.attempts_over(now, attempt, end, true);
+            self.remove_attempt(now, attempt, end, true);
         } else {
-            self.attempts_over(now, attempt, end, false);
+            self.remove_attempt(now, attempt, end, false);
         }
-        self.run(now, timers);
+        self.handle_pending(now, timers);
     }
 
-    /// Notes that a call was refused.
-    fn note_refused(&mut self, call: &Call) {
+    /// Logs that a call was refused.
+    fn log_refusal(&mut self, call: &Call) {
         let (attempts, last) = (call.attempts, call.last_end);
         self.log_events.push_back(LogEvent::Refused { call: call.info.id.clone(), attempts, last });
     }
 
-    /// Notes that the caller of a call that stands is told of its end.
-    fn note_release(&mut self, now: Duration, attempt: AttemptToken, why: EndReason) {
-        let Some(a) = self.attempts.get(attempt.0) else {
+    /// Counts and logs that an established call is released towards its caller.
+    fn record_release(&mut self, now: Duration, attempt: AttemptToken, why: EndReason) {
+        let Some(state) = self.attempts.get(attempt.0) else {
             return;
         };
         *self.releases.entry(why.name()).or_default() += 1;
-        let call = self.calls.get(a.call.0).map_or(String::new(), |c| c.info.id.clone());
-        let (exchange, stood) = (self.name(a.exchange).to_owned(), now.saturating_sub(a.stood));
-        self.log_events.push_back(LogEvent::Released { call, exchange, why, stood });
+        let call = self.calls.get(state.call.0).map_or(String::new(), |c| c.info.id.clone());
+        let (exchange, duration) =
+            (self.name(state.exchange).to_owned(), now.saturating_sub(state.answered_at));
+        self.log_events.push_back(LogEvent::Released { call, exchange, why, duration });
     }
 
     /// Whether an attempt has been answered and not ended.
     pub fn is_answered(&self, attempt: AttemptToken) -> bool {
-        self.attempts.get(attempt.0).is_some_and(|a| a.stands)
+        self.attempts.get(attempt.0).is_some_and(|a| a.is_established)
     }
 
-    /// The state of the group to an exchange.
+    /// Records the number of free circuits and the size of the trunk group to an exchange.
     pub fn update_circuits<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -523,7 +545,7 @@
         (free, size): (u32, u32),
         timers: &mut TimerQueue<D>,
     ) {
-        self.tell(now, Event::Circuits { exchange, free, size }, timers);
+        self.handle_event(now, Event::Circuits { exchange, free, size }, timers);
     }
 
     /// Applies an update of the list.
@@ -534,48 +556,49 @@
         lines: &[NamedEntry],
         timers: &mut TimerQueue<D>,
     ) {
-        let mut lost = Vec::new();
+        let mut dropped = Vec::new();
         let mut entries = Vec::with_capacity(lines.len());
         if full {
-            for (id, e) in &mut self.exchanges {
-                if !lines.iter().any(|l| l.name == e.name) && e.phase != Phase::Gone {
-                    e.phase = Phase::Gone;
-                    lost.push((*id, Duration::MAX));
+            for (id, entry) in &mut self.exchanges {
+                if !lines.iter().any(|l| l.name == entry.name) && entry.phase != Phase::Gone {
+                    entry.phase = Phase::Gone;
+                    dropped.push((*id, Duration::MAX));
                 }
             }
         }
-        for l in lines {
+        for line in lines {
             let next = ExchangeId(self.next_exchange);
-            self.note_listed(l);
-            let id = *self.names.entry(l.name.clone()).or_insert(next);
+            self.log_list_change(line);
+            let id = *self.names.entry(line.name.clone()).or_insert(next);
             self.next_exchange += u32::from(id == next);
-            let e = self.exchanges.entry(id).or_insert_with(|| Exchange {
-                name: l.name.clone(),
-                number: l.number,
-                phase: l.phase,
-                started_at: l.started_at,
+            let entry = self.exchanges.entry(id).or_insert_with(|| Exchange {
+                name: line.name.clone(),
+                number: line.number,
+                phase: line.phase,
+                started_at: line.started_at,
                 liveness: Liveness::default(),
-                is_watched: false,
+                is_review_scheduled: false,
             });
-            // A process that has started anew knows nothing of the calls before; one withdrawn has none.
-            if l.phase == Phase::Gone {
-                lost.push((id, Duration::MAX));
-            } else if l.started_at > e.started_at {
-                lost.push((id, l.started_at));
+            // A restarted process has lost the calls that were established before its start; an exchange that
+            // is withdrawn from the list has lost all.
+            if line.phase == Phase::Gone {
+                dropped.push((id, Duration::MAX));
+            } else if line.started_at > entry.started_at {
+                dropped.push((id, line.started_at));
             }
-            (e.phase, e.started_at) = (l.phase, l.started_at);
-            entries.push(l.entry(id));
+            (entry.phase, entry.started_at) = (line.phase, line.started_at);
+            entries.push(line.entry(id));
         }
         let list = if full { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
         self.pending.push_back(Event::List(list));
-        for (id, until) in lost {
-            self.lose(now, id, until, timers);
+        for (id, answered_until) in dropped {
+            self.drop_calls(now, id, answered_until, timers);
         }
-        self.run(now, timers);
+        self.handle_pending(now, timers);
     }
 
-    /// Notes what a line of the list changes.
-    fn note_listed(&mut self, line: &NamedEntry) {
+    /// Logs a line of the list that changes the phase of an exchange or reports its restart.
+    fn log_list_change(&mut self, line: &NamedEntry) {
         let known = self.names.get(&line.name).and_then(|id| self.exchanges.get(id));
         let from = known.map(|e| e.phase);
         let restarted = known.is_some_and(|e| line.started_at > e.started_at);
@@ -585,9 +608,9 @@
         }
     }
 
-    /// Removes the exchanges that are gone, once no attempt is left there. They are replaced for good, under other
-    /// names, so whoever keeps them grows for as long as it runs. Fronts look names up until the news is dealt
-    /// with, so this is for them to call then.
+    /// Removes the exchanges that are gone and have no attempt left. They are replaced by exchanges of other
+    /// names and never come back, so memory would grow without bound if they were kept. Fronts look up names
+    /// while they process an update of the list, so this has to be called after that.
     pub fn remove_gone(&mut self) {
         let attempts = &self.attempts;
         self.exchanges
@@ -606,65 +629,66 @@
         match due {
             EngineTimer::Controller(timer) => self.pending.push_back(Event::Timer(timer)),
             EngineTimer::AttemptTimeout(attempt) => {
-                if self.attempts.get(attempt.0).is_some_and(|a| !a.stands) {
+                if self.attempts.get(attempt.0).is_some_and(|a| !a.is_established) {
                     self.commands.push_back(Command::CancelAttempt(attempt));
-                    self.attempts_over(now, attempt, EndReason::TimedOut, false);
+                    self.remove_attempt(now, attempt, EndReason::TimedOut, false);
                 }
             }
-            EngineTimer::AnswerDeadline(call) => self.last_moment(now, call, timers),
+            EngineTimer::AnswerDeadline(call) => self.answer_deadline_due(now, call, timers),
             EngineTimer::Review(exchange) => self.review(now, exchange, timers),
         }
-        self.run(now, timers);
+        self.handle_pending(now, timers);
     }
 
-    /// The caller is about to give up and no answer has been given: it is refused.
-    fn last_moment<D: From<EngineTimer>>(
+    /// The deadline for the final answer has come: a call without one is refused.
+    fn answer_deadline_due<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         call: CallToken,
         timers: &mut TimerQueue<D>,
     ) {
-        let Some(c) = self.calls.get(call.0) else {
+        let Some(state) = self.calls.get(call.0) else {
             return;
         };
-        let attempt = c.attempt;
+        let attempt = state.attempt;
         if attempt.is_some_and(|a| self.is_answered(a)) {
             return;
         }
         if let Some(attempt) = attempt {
-            // The controller may still have its say: it hears of a time-out first.
+            // The time-out is reported to the controller first, as it may give a final answer of its own.
             self.commands.push_back(Command::CancelAttempt(attempt));
-            self.attempts_over(now, attempt, EndReason::TimedOut, false);
-            self.run(now, timers);
+            self.remove_attempt(now, attempt, EndReason::TimedOut, false);
+            self.handle_pending(now, timers);
         }
-        if let Some(c) = self.calls.remove(call.0) {
-            self.count(c.class, |r| &mut r.declined);
-            self.note_refused(&c);
+        if let Some(removed) = self.calls.remove(call.0) {
+            self.count(removed.class, |r| &mut r.declined);
+            self.log_refusal(&removed);
             self.pending.push_back(Event::CallerAbandoned(CallId(call.0.bits())));
-            let stay = self.max_retry_after();
-            self.commands.push_back(Command::Refuse(call, stay));
+            let retry_after = self.max_retry_after();
+            self.commands.push_back(Command::Refuse(call, retry_after));
         }
     }
 
-    /// Whatever has stood at an exchange since `until` or before is over. News may be late: what its new process has
-    /// answered since it started goes on.
-    fn lose<D: From<EngineTimer>>(
+    /// Drops the calls that an exchange answered at `until` or before, as their process is gone. An update of
+    /// the list may arrive late, so calls that the restarted process has answered after its start are kept.
+    fn drop_calls<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
-        until: Duration,
+        answered_until: Duration,
         timers: &mut TimerQueue<D>,
     ) {
-        let there = self.attempts.iter().filter(|(_, a)| a.exchange == exchange && a.stands);
-        let there = there.filter(|(_, a)| a.stood <= until);
-        let there: Vec<_> = there.map(|(t, _)| AttemptToken(t)).collect();
-        for attempt in there {
+        let dropped = self.attempts.iter().filter(|(_, a)| a.exchange == exchange && a.is_established);
+        let dropped = dropped.filter(|(_, a)| a.answered_at <= answered_until);
+        let dropped: Vec<_> = dropped.map(|(t, _)| AttemptToken(t)).collect();
+        for attempt in dropped {
             self.commands.push_back(Command::ForgetAttempt(attempt));
             self.attempt_ended(now, attempt, EndReason::Dropped, timers);
         }
     }
 
-    /// Ends the attempt of a call that is already over on the caller's side.
+    /// Ends the attempt of a call whose caller has already ended it: cancels a pending attempt, releases an
+    /// established one.
     fn end_attempt<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -674,34 +698,43 @@
         timers: &mut TimerQueue<D>,
     ) {
         if let Some(token) = attempt {
-            if let Some(a) = self.attempts.get(token.0) {
-                self.commands.push_back(if a.stands {
+            if let Some(state) = self.attempts.get(token.0) {
+                self.commands.push_back(if state.is_established {
                     Command::ReleaseExchange(token, ReleaseCause::Normal)
                 } else {
                     Command::CancelAttempt(token)
                 });
-                self.attempts_over(now, token, end, call_ended);
+                self.remove_attempt(now, token, end, call_ended);
             }
         }
-        self.run(now, timers);
+        self.handle_pending(now, timers);
     }
 
-    /// Takes an attempt out of the tables and has the controller told.
-    fn attempts_over(&mut self, now: Duration, token: AttemptToken, end: EndReason, call_ended: bool) {
-        let Some(a) = self.attempts.remove(token.0) else {
+    /// Removes an attempt from the tables and reports its end to the controller.
+    fn remove_attempt(&mut self, now: Duration, token: AttemptToken, end: EndReason, call_ended: bool) {
+        let Some(state) = self.attempts.remove(token.0) else {
             return;
         };
-        if let Some(call) = self.calls.get_mut(a.call.0) {
+        if let Some(call) = self.calls.get_mut(state.call.0) {
             call.attempt = None;
             call.last_end = Some(end);
         }
-        if !a.stands {
+        if !state.is_established {
             *self.attempt_ends.entry(end.name()).or_default() += 1;
         }
-        self.over(now, a.call, a.number, now.saturating_sub(a.sent), end, call_ended);
+        self.report_attempt_end(
+            now,
+            state.call,
+            state.number,
+            now.saturating_sub(state.sent_at),
+            end,
+            call_ended,
+        );
     }
 
-    fn over(
+    /// Queues the end of an attempt for the controller, and starts the release delay of the call where the
+    /// attempt may still occupy circuits.
+    fn report_attempt_end(
         &mut self,
         now: Duration,
         call: CallToken,
@@ -722,24 +755,30 @@
         }));
     }
 
-    fn tell<D: From<EngineTimer>>(&mut self, now: Duration, event: Event, timers: &mut TimerQueue<D>) {
+    /// Hands an event to the controller, and handles all events that follow from it.
+    fn handle_event<D: From<EngineTimer>>(
+        &mut self,
+        now: Duration,
+        event: Event,
+        timers: &mut TimerQueue<D>,
+    ) {
         self.pending.push_back(event);
-        self.run(now, timers);
+        self.handle_pending(now, timers);
     }
 
-    /// Hands the pending events to the controller and carries out what it decides.
-    fn run<D: From<EngineTimer>>(&mut self, now: Duration, timers: &mut TimerQueue<D>) {
+    /// Hands the pending events to the controller and carries out its decisions.
+    fn handle_pending<D: From<EngineTimer>>(&mut self, now: Duration, timers: &mut TimerQueue<D>) {
         while let Some(event) = self.pending.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, timers);
+                self.execute(now, action, timers);
             }
             self.actions = actions;
         }
     }
 
-    fn carry_out<D: From<EngineTimer>>(
+    fn execute<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         action: Action,
@@ -751,37 +790,44 @@
                 self.set_up(now, token(call), exchange, timeout, timers)
             }
             Action::Refuse { call, retry_after } => {
-                if let Some(c) = self.settle(token(call)) {
-                    self.count(c.class, |r| &mut r.declined);
+                if let Some(removed) = self.remove_for_final_answer(token(call)) {
+                    self.count(removed.class, |r| &mut r.declined);
                     self.commands.push_back(Command::Refuse(token(call), retry_after));
-                    self.note_refused(&c);
+                    self.log_refusal(&removed);
                 }
             }
             Action::Fail(call) => {
-                if let Some(c) = self.settle(token(call)) {
-                    self.count(c.class, |r| &mut r.aborted);
+                if let Some(removed) = self.remove_for_final_answer(token(call)) {
+                    self.count(removed.class, |r| &mut r.aborted);
                     self.commands.push_back(Command::Fail(token(call)));
-                    let (call, attempts, last) = (c.info.id.clone(), c.attempts, c.last_end);
+                    let (call, attempts, last) =
+                        (removed.info.id.clone(), removed.attempts, removed.last_end);
                     self.log_events.push_back(LogEvent::Failed { call, attempts, last });
                 }
             }
             Action::SetTimer { timer, after } => {
                 timers.schedule(now + after, EngineTimer::Controller(timer).into())
             }
-            // The list comes by itself on every wire spoken here.
+            // The journal service pushes the updates of the list, so that there is nothing to subscribe to.
             Action::Subscribe => {}
         }
     }
 
-    /// Takes a call out for its final answer; none if it had one. An attempt still out is given up.
-    fn settle(&mut self, call: CallToken) -> Option<Call> {
-        let c = self.calls.remove(call.0)?;
-        if let Some(a) = c.attempt.filter(|a| self.attempts.remove(a.0).is_some()) {
-            self.commands.push_back(Command::CancelAttempt(a));
+    /// Removes a call that gets its final answer, and cancels its attempt if there is one. Returns `None` if
+    /// the call has ended already.
+    fn remove_for_final_answer(&mut self, call: CallToken) -> Option<Call> {
+        let removed = self.calls.remove(call.0)?;
+        if let Some(attempt) =
+            removed.attempt.filter(|attempt| self.attempts.remove(attempt.0).is_some())
+        {
+            self.commands.push_back(Command::CancelAttempt(attempt));
         }
-        Some(c)
+        Some(removed)
     }
 
+    /// Sends the set-up of the next attempt. Where the rules don't allow it (another attempt exists, the
+    /// release delay is running, the exchange is not in service, or no time is left), the attempt ends as not
+    /// sent.
     fn set_up<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -798,7 +844,14 @@
         let in_service = self.exchanges.get(&exchange).is_some_and(|e| e.phase == Phase::InService);
         let wait = timeout.min(call.answer_by.saturating_sub(now));
         if call.attempt.is_some() || now < call.not_before || !in_service || wait.is_zero() {
-            return self.over(now, token, number, Duration::ZERO, EndReason::NotSent, false);
+            return self.report_attempt_end(
+                now,
+                token,
+                number,
+                Duration::ZERO,
+                EndReason::NotSent,
+                false,
+            );
         }
         let (info, destination, after) = (Rc::clone(&call.info), call.destination, call.last_end);
         if number > 0 {
@@ -806,17 +859,17 @@
             let (call, exchange) = (info.id.clone(), self.name(exchange).to_owned());
             self.log_events.push_back(LogEvent::Retried { call, exchange, attempt: number, after });
         }
-        let direct = self.number(exchange) == Some(destination);
+        let is_direct = self.number(exchange) == Some(destination);
         let attempt = Attempt {
             call: token,
             exchange,
             number,
-            sent: now,
-            stands: false,
-            stood: now,
+            sent_at: now,
+            is_established: false,
+            answered_at: now,
             incarnation: Incarnation::default(),
-            direct,
-            overtaken: 0,
+            is_direct,
+            overtaking_answers: 0,
         };
         let attempt = AttemptToken(self.attempts.insert(attempt));
         if let Some(call) = self.calls.get_mut(token.0) {
--- a/node/src/engine/liveness.rs
+++ b/node/src/engine/liveness.rs
@@ -1,4 +1,5 @@
-//! Signs of life of exchanges, as fronts hand them in, and what becomes of the calls at one that gives none.
+//! Liveness of exchanges: records the activity and failure signs that fronts report, and releases the calls
+//! of processes that are dead.
 
 use super::{AttemptToken, Command, Engine, EngineTimer, ReleaseCause};
 use crate::end::EndReason;
@@ -9,17 +10,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A request of the engine to the connections to an exchange.
+/// A request of the engine to the front that holds the connections to an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionRequest {
-    /// Calls stand at a process that has been silent: bring about a sign of life, without asking for one.
+    /// A process with established calls has been silent: cause activity that shows whether it is alive,
+    /// without a probe message where probing is not allowed.
     Check(ExchangeId, Incarnation),
-    /// The process that connections of this incarnation lead to is gone, as far as can be told.
+    /// The process at the other end of this incarnation's connections is considered dead: close them.
     Abandon(ExchangeId, Incarnation),
 }
 
 impl ConnectionRequest {
-    /// The exchange that it is about.
+    /// The exchange that the request concerns.
     pub fn exchange(self) -> ExchangeId {
         match self {
             ConnectionRequest::Check(exchange, _) | ConnectionRequest::Abandon(exchange, _) => exchange,
@@ -28,29 +30,29 @@
 }
 
 impl Engine {
-    /// The next request to the connections.
+    /// The next request for the connections to an exchange.
     pub fn next_connection_request(&mut self) -> Option<ConnectionRequest> {
         self.connection_requests.pop_front()
     }
 
-    /// A requested check has started.
-    /// `is_conclusive`: what it goes by had been in use.
+    /// A requested check has started. `is_conclusive` says whether the connection that is closed for the
+    /// check had been in use, so that the exchange cannot have dropped it as idle.
     pub fn check_started(&mut self, now: Duration, exchange: ExchangeId, is_conclusive: bool) {
-        if let Some(e) = self.exchanges.get_mut(&exchange) {
-            e.liveness.check_started(now, is_conclusive);
+        if let Some(entry) = self.exchanges.get_mut(&exchange) {
+            entry.liveness.check_started(now, is_conclusive);
             self.checks += 1;
         }
     }
 
-    /// A connection to an exchange has come up; the process that it leads to.
+    /// A connection to an exchange was established. Returns the incarnation of the process at its other end.
     pub fn connected(&mut self, now: Duration, exchange: ExchangeId) -> Incarnation {
-        let Some(e) = self.exchanges.get_mut(&exchange) else {
+        let Some(entry) = self.exchanges.get_mut(&exchange) else {
             return Incarnation::default();
         };
-        let before = e.liveness.newest(now);
-        let incarnation = e.liveness.connected(now);
+        let before = entry.liveness.newest(now);
+        let incarnation = entry.liveness.connected(now);
         if incarnation != before {
-            let (exchange, is_assumed_same) = (e.name.clone(), !e.liveness.is_suspected(before));
+            let (exchange, is_assumed_same) = (entry.name.clone(), !entry.liveness.is_suspected(before));
             self.log_events.push_back(LogEvent::NewIncarnation { exchange, is_assumed_same });
         }
         incarnation
@@ -58,26 +60,27 @@
 
     /// Records a message that only the process of this incarnation can have sent.
     pub fn record_activity(&mut self, now: Duration, exchange: ExchangeId, incarnation: Incarnation) {
-        if let Some(e) = self.exchanges.get_mut(&exchange) {
-            e.liveness.record_activity(now, incarnation);
+        if let Some(entry) = self.exchanges.get_mut(&exchange) {
+            entry.liveness.record_activity(now, incarnation);
         }
     }
 
     /// Records activity of the exchange of an attempt, for protocols that do not distinguish its processes.
     pub fn record_attempt_activity(&mut self, now: Duration, attempt: AttemptToken) {
         let exchange = self.exchange_of(attempt);
-        if let Some(e) = exchange.and_then(|e| self.exchanges.get_mut(&e)) {
-            let newest = e.liveness.newest(now);
-            e.liveness.record_activity(now, newest);
+        if let Some(entry) = exchange.and_then(|e| self.exchanges.get_mut(&e)) {
+            let newest = entry.liveness.newest(now);
+            entry.liveness.record_activity(now, newest);
         }
     }
 
-    /// Where an attempt went.
+    /// The exchange that the set-up of an attempt was sent to.
     pub fn exchange_of(&self, attempt: AttemptToken) -> Option<ExchangeId> {
         self.attempts.get(attempt.0).map(|a| a.exchange)
     }
 
-    /// The exchange has closed a connection in good order; `in_response`: this side had closed it before.
+    /// The exchange has closed a connection gracefully. `in_response` says whether this side had closed it
+    /// first.
     pub fn peer_closed(
         &mut self,
         now: Duration,
@@ -85,15 +88,15 @@
         incarnation: Incarnation,
         in_response: bool,
     ) {
-        if let Some(e) = self.exchanges.get_mut(&exchange) {
-            e.liveness.peer_closed(now, incarnation, in_response);
+        if let Some(entry) = self.exchanges.get_mut(&exchange) {
+            entry.liveness.peer_closed(now, incarnation, in_response);
         }
     }
 
     /// The exchange sent data first on a new connection.
     pub fn peer_spoke_first(&mut self, exchange: ExchangeId) {
-        if let Some(e) = self.exchanges.get_mut(&exchange) {
-            e.liveness.peer_spoke_first();
+        if let Some(entry) = self.exchanges.get_mut(&exchange) {
+            entry.liveness.peer_spoke_first();
         }
     }
 
@@ -104,30 +107,31 @@
         exchange: ExchangeId,
         observation: FailureSign,
     ) {
-        let Some(e) = self.exchanges.get_mut(&exchange) else {
+        let Some(entry) = self.exchanges.get_mut(&exchange) else {
             return;
         };
-        let newest = e.liveness.newest(now);
-        let silent = e.liveness.silent_for(now, newest);
-        e.liveness.record_failure_sign(observation);
+        let newest = entry.liveness.newest(now);
+        let silent_for = entry.liveness.silent_for(now, newest);
+        entry.liveness.record_failure_sign(observation);
         self.adverse_observations += 1;
-        if self.has_standing(exchange) {
+        if self.has_established_calls(exchange) {
             let exchange = self.name(exchange).to_owned();
-            self.log_events.push_back(LogEvent::Suspected { exchange, observation, silent });
+            self.log_events.push_back(LogEvent::Suspected { exchange, observation, silent_for });
         }
     }
 
-    /// An exchange refuses connections, and none is open: its process is gone, and so are its calls.
+    /// An exchange refuses connections and none to it is open: its process is gone, so all its calls are
+    /// dropped.
     pub fn connection_refused<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         timers: &mut TimerQueue<D>,
     ) {
-        self.lose(now, exchange, Duration::MAX, timers);
+        self.drop_calls(now, exchange, Duration::MAX, timers);
     }
 
-    /// Whether newer connections than those of an incarnation may lead to another process.
+    /// Whether newer connections than those of an incarnation may lead to a different process.
     pub fn has_newer(&self, exchange: ExchangeId, incarnation: Incarnation) -> bool {
         self.exchanges.get(&exchange).is_some_and(|e| e.liveness.has_newer(incarnation))
     }
@@ -142,120 +146,126 @@
         self.exchanges.get(&exchange).is_some_and(|e| e.liveness.is_suspected(incarnation))
     }
 
-    /// Since when there has been no sign of life of a process.
+    /// Time since the last activity of a process.
     pub fn silent_for(&self, now: Duration, exchange: ExchangeId, incarnation: Incarnation) -> Duration {
         let exchange = self.exchanges.get(&exchange);
         exchange.map_or(Duration::ZERO, |e| e.liveness.silent_for(now, incarnation))
     }
 
-    /// Whether two incarnations are the same process, as far as is known.
+    /// Whether two incarnations are known to be the same process.
     pub fn is_same_process(&self, exchange: ExchangeId, one: Incarnation, other: Incarnation) -> bool {
         let exchange = self.exchanges.get(&exchange);
-        exchange.is_some_and(|e| e.liveness.group(one) == e.liveness.group(other))
+        exchange.is_some_and(|e| e.liveness.group_id(one) == e.liveness.group_id(other))
     }
 
-    /// The process at which an attempt stands.
+    /// The process that answered an established attempt.
     pub fn incarnation(&self, attempt: AttemptToken) -> Option<Incarnation> {
-        self.attempts.get(attempt.0).filter(|a| a.stands).map(|a| a.incarnation)
+        self.attempts.get(attempt.0).filter(|a| a.is_established).map(|a| a.incarnation)
     }
 
     /// Whether a process of an exchange has established calls.
     pub fn has_calls_at(&self, exchange: ExchangeId, incarnation: Incarnation) -> bool {
-        self.with_calls(exchange).contains(&self.group(exchange, incarnation))
+        self.processes_with_calls(exchange).contains(&self.group_id(exchange, incarnation))
     }
 
-    fn has_standing(&self, exchange: ExchangeId) -> bool {
-        self.attempts.iter().any(|(_, a)| a.exchange == exchange && a.stands)
+    fn has_established_calls(&self, exchange: ExchangeId) -> bool {
+        self.attempts.iter().any(|(_, a)| a.exchange == exchange && a.is_established)
     }
 
-    fn group(&self, exchange: ExchangeId, incarnation: Incarnation) -> Incarnation {
-        self.exchanges.get(&exchange).map_or(incarnation, |e| e.liveness.group(incarnation))
+    /// The first incarnation of a group, which identifies the process.
+    fn group_id(&self, exchange: ExchangeId, incarnation: Incarnation) -> Incarnation {
+        self.exchanges.get(&exchange).map_or(incarnation, |e| e.liveness.group_id(incarnation))
     }
 
-    /// The processes of an exchange at which calls stand.
-    fn with_calls(&self, exchange: ExchangeId) -> BTreeSet<Incarnation> {
-        let there = self.attempts.iter().filter(|(_, a)| a.exchange == exchange && a.stands);
-        there.map(|(_, a)| self.group(exchange, a.incarnation)).collect()
+    /// The processes of an exchange that have established calls, each by the first incarnation of its group.
+    fn processes_with_calls(&self, exchange: ExchangeId) -> BTreeSet<Incarnation> {
+        let established =
+            self.attempts.iter().filter(|(_, a)| a.exchange == exchange && a.is_established);
+        established.map(|(_, a)| self.group_id(exchange, a.incarnation)).collect()
     }
 
-    /// Sees to it that an exchange at which a call stands is looked at in time.
-    pub(super) fn watch<D: From<EngineTimer>>(
+    /// Starts the liveness reviews of an exchange that has an established call, unless they are scheduled
+    /// already.
+    pub(super) fn ensure_review_scheduled<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         timers: &mut TimerQueue<D>,
     ) {
-        if let Some(e) = self.exchanges.get_mut(&exchange).filter(|e| !e.is_watched) {
-            e.is_watched = true;
+        if let Some(entry) = self.exchanges.get_mut(&exchange).filter(|e| !e.is_review_scheduled) {
+            entry.is_review_scheduled = true;
             self.review(now, exchange, timers);
         }
     }
 
-    /// Looks whether the processes at an exchange still live, for as long as calls stand there.
+    /// Checks whether the processes of an exchange are alive, and schedules the next review for as long as
+    /// there are established calls.
     pub(super) fn review<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         timers: &mut TimerQueue<D>,
     ) {
-        let with_calls = self.with_calls(exchange);
-        let Some(e) = self.exchanges.get_mut(&exchange) else {
+        let processes_with_calls = self.processes_with_calls(exchange);
+        let Some(entry) = self.exchanges.get_mut(&exchange) else {
             return;
         };
-        if with_calls.is_empty() {
-            e.is_watched = false;
+        if processes_with_calls.is_empty() {
+            entry.is_review_scheduled = false;
             return;
         }
-        let silent: Vec<_> = with_calls.iter().map(|i| (*i, e.liveness.silent_for(now, *i))).collect();
-        let Review { dead, check, next } = e.liveness.review(now, &with_calls);
+        let silences: Vec<_> =
+            processes_with_calls.iter().map(|i| (*i, entry.liveness.silent_for(now, *i))).collect();
+        let Review { dead, check, next } = entry.liveness.review(now, &processes_with_calls);
         timers.schedule(next, EngineTimer::Review(exchange).into());
         if let Some(incarnation) = check {
             self.connection_requests.push_back(ConnectionRequest::Check(exchange, incarnation));
         }
-        for (incarnation, silent) in silent.into_iter().filter(|(i, _)| dead.contains(i)) {
-            self.lose_silent(now, exchange, incarnation, silent, timers);
+        for (incarnation, silent_for) in silences.into_iter().filter(|(i, _)| dead.contains(i)) {
+            self.drop_calls_of_dead_process(now, exchange, incarnation, silent_for, timers);
         }
     }
 
-    /// Calls at a process that gave no sign of life for too long are over. Should it live after all, it is told so.
-    fn lose_silent<D: From<EngineTimer>>(
+    /// Drops the calls at a process that has been silent for too long. The exchange is sent a release for
+    /// each, in case the process is alive after all.
+    fn drop_calls_of_dead_process<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         exchange: ExchangeId,
         incarnation: Incarnation,
-        silent: Duration,
+        silent_for: Duration,
         timers: &mut TimerQueue<D>,
     ) {
-        let there: Vec<_> = self
+        let attempts: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.exchange == exchange && a.stands)
-            .filter(|(_, a)| self.group(exchange, a.incarnation) == incarnation)
+            .filter(|(_, a)| a.exchange == exchange && a.is_established)
+            .filter(|(_, a)| self.group_id(exchange, a.incarnation) == incarnation)
             .map(|(token, _)| AttemptToken(token))
             .collect();
-        let (name, calls) = (self.name(exchange).to_owned(), there.len());
-        self.log_events.push_back(LogEvent::ExchangeDead { exchange: name, calls, silent });
+        let (name, calls) = (self.name(exchange).to_owned(), attempts.len());
+        self.log_events.push_back(LogEvent::ExchangeDead { exchange: name, calls, silent_for });
         self.connection_requests.push_back(ConnectionRequest::Abandon(exchange, incarnation));
-        for attempt in there {
+        for attempt in attempts {
             self.commands.push_back(Command::ReleaseExchange(attempt, ReleaseCause::Dropped));
             self.attempt_ended(now, attempt, EndReason::ExchangeDead, timers);
         }
     }
 
-    /// At the end of a planned stop: callers of calls at exchanges that are in doubt are told that these are over, as
-    /// nobody is left to tell them later.
+    /// At the end of a graceful shutdown, sends the callers a release of each call at a process that is
+    /// suspected to have failed, as this controller cannot send it later.
     pub fn release_suspected<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
         timers: &mut TimerQueue<D>,
     ) {
-        let there: Vec<_> = self
+        let attempts: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.stands && self.is_suspected(a.exchange, a.incarnation))
+            .filter(|(_, a)| a.is_established && self.is_suspected(a.exchange, a.incarnation))
             .map(|(token, _)| AttemptToken(token))
             .collect();
-        for attempt in there {
+        for attempt in attempts {
             self.commands.push_back(Command::ForgetAttempt(attempt));
             self.attempt_ended(now, attempt, EndReason::ExchangeDead, timers);
         }
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -1,72 +1,83 @@
-//! Whether the process at an exchange still lives, from what passes anyway. Nothing is asked of the exchange for it.
+//! Passive failure detection: decides whether the process of an exchange is alive from the traffic on its
+//! connections. It does not depend on probe messages to the exchange.
 //!
-//! A sign of life is something that only a living process brings about: bytes on a connection, or a connection closed
-//! in good order. It proves the process at the other end of that connection, and no other. A new process may serve at
-//! the same address, so connections are told apart by [`Incarnation`]: one that comes up while there is reason to doubt
-//! the process before begins a new incarnation, until an older connection shows that both lead to the same process.
-//! Where the reason is weak, both are assumed to be the same until something speaks against it.
+//! Activity is something that only a living process causes: bytes on a connection, or its graceful close. It
+//! shows that the process at the other end of that connection is alive, and nothing about any other process.
+//! A new process may be serving at the same address, so each connection belongs to an [`Incarnation`]. A
+//! connection that is established while the current process is suspected to have failed starts a new
+//! incarnation. Later activity on an older connection shows that both lead to the same process, and merges
+//! them. Where the suspicion is weak, both incarnations are assumed to be the same process until there is
+//! evidence against it.
 //!
-//! What stands at an incarnation without a sign of life for [`DEAD_AFTER`] is lost, where something speaks against its
-//! life as well: dials that failed, set-ups without an answer, checks without a result, or a newer incarnation.
+//! An incarnation is considered dead, and its calls are dropped, after [`SILENCE_TIMEOUT`] without activity,
+//! provided that there is also a sign of failure: failed dials, unanswered set-ups, failed checks, or a newer
+//! incarnation.
 
 use crate::end::EndReason;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What stands at a process without a sign of life for this long is over. The rules leave 8 s from its end, which may
-/// have come right after the last sign; the rest is for the way to the caller and a loop that is late.
-pub const DEAD_AFTER: Duration = Duration::from_millis(7200);
-/// A process is checked this long after the first call stood there, silent or not, to learn its [`Habit`] while it is
-/// sure to live.
-const CHECK_AFTER_AT_FIRST: Duration = Duration::from_millis(500);
-/// A process at which calls stand is checked when it has been silent for this long: a dial that fails, and another, fit
-/// into an outage of three seconds then.
-const CHECK_AFTER: Duration = Duration::from_secs(2);
-/// A check without a sign of life within this time has failed, and another may begin.
-const CHECK_TAKES: Duration = Duration::from_secs(1);
-/// Adverse observations in a row from which on a new connection is not taken for one to the same process: one dial in
-/// fifty never comes up, and an answer may be lost.
-const DOUBTED_FROM: u32 = 2;
-/// Where dials failed and no connection in use is known to be dead, whoever comes back within this time of the last sign of
-/// life is taken for the same process: it stalled or was cut off for a while, and a process takes longer to be replaced.
-const STALLS_FOR: Duration = Duration::from_millis(4750);
-/// Incarnations kept in mind; beyond it the two oldest count as one.
-const MOST_INCARNATIONS: usize = 16;
-
-/// One process at an exchange, as far as connections tell processes apart. Later ones are greater.
+/// A suspected process without activity for this long is considered dead, and its calls are dropped. The
+/// caller has to get the release within 8 s of the failure, which may have come right after the last
+/// activity; the remaining time allows for the transmission to the caller and for delays of the event loop.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(7200);
+/// The first check at an exchange comes this long after the first call was established there, whether the
+/// process is silent or not, to learn its [`CloseBehavior`] while it is certainly alive.
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
+/// A process with established calls is checked after this long without activity. A failed dial and a second
+/// one then fit into an outage of 3 s.
+const CHECK_DELAY: Duration = Duration::from_secs(2);
+/// A check without activity within this time has failed, and another may start.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Weight of failure signs in a row from which on a new connection is not assumed to lead to the same
+/// process. A single sign is not enough, as one dial in fifty never succeeds and an answer may be lost.
+const MIN_SUSPICION_WEIGHT: u32 = 2;
+/// If dials failed and no connection in use is known to be dead, a process that is reachable again within
+/// this time of the last activity is assumed to be the same. It stalled or was unreachable for a while;
+/// replacing a process takes longer.
+const MAX_STALL_DURATION: Duration = Duration::from_millis(4750);
+/// Maximum number of incarnation groups that are tracked; beyond it, the two oldest count as one.
+const MAX_INCARNATION_GROUPS: usize = 16;
+
+/// Identifies one process of an exchange, as far as connections allow processes to be distinguished. Later
+/// incarnations compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u32);
 
 /// One observation which indicates that the process has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureSign {
-    /// A dial was refused or did not come up in time.
+    /// A dial was refused or timed out.
     DialFailed,
-    /// So many set-ups were given up with nothing heard since they were sent, on a connection to this incarnation that had
-    /// been in use.
+    /// This number of set-ups were cancelled with no bytes received since they were sent, on a connection to
+    /// this incarnation that had been in use.
     Unanswered(u32, Incarnation),
-    /// The same on a connection that had rested: the exchange may have forgotten it.
+    /// The same on an idle connection, which the exchange may have dropped without closing it.
     UnansweredAtRest(u32),
-    /// One connection was reset while others were left.
+    /// One connection was reset while others remained.
     Reset,
-    /// All connections to an incarnation were reset at once, and not for being idle: a process that dies does that.
+    /// All connections to an incarnation were reset at once, and not for being idle, as happens when a
+    /// process dies.
     AllReset(Incarnation),
-    /// A connection to an incarnation that had been in use has missed what others have brought.
+    /// A connection to an incarnation that had been in use did not receive the reports that other connections
+    /// received.
     MissedReports(Incarnation),
-    /// The same of one that had rested: the exchange may have forgotten it, unless it could not be reached meanwhile.
+    /// The same on an idle connection. Unless the exchange was unreachable in between, it may have dropped
+    /// that connection without closing it.
     MissedReportsAtRest(Incarnation),
-    /// A check brought no sign of life.
+    /// A check caused no activity.
     CheckFailed,
 }
 
 impl FailureSign {
-    /// The failure sign that the end of a dial amounts to, if any. What this side ended or had no socket for
-    /// shows nothing, and one that was reset while new shows that somebody is there.
+    /// The failure sign that follows from the end of a dial, if any. A dial that this side ended or had no
+    /// socket for shows nothing, and a reset of a new connection shows that a process is there.
     pub fn from_dial(end: EndReason) -> Option<Self> {
         matches!(end, EndReason::ConnectionRefused | EndReason::DialTimedOut)
             .then_some(FailureSign::DialFailed)
     }
 
+    /// How strongly the sign indicates a failure, to be added up and compared with [`MIN_SUSPICION_WEIGHT`].
     fn weight(self) -> u32 {
         match self {
             FailureSign::Reset | FailureSign::MissedReports(_) | FailureSign::MissedReportsAtRest(_) => {
@@ -74,12 +85,12 @@
             }
             FailureSign::DialFailed | FailureSign::CheckFailed => 1,
             FailureSign::Unanswered(set_ups, _) | FailureSign::UnansweredAtRest(set_ups) => set_ups,
-            FailureSign::AllReset(_) => DOUBTED_FROM,
+            FailureSign::AllReset(_) => MIN_SUSPICION_WEIGHT,
         }
     }
 
-    /// Whether it shows that the exchange could not be reached for a while. All else may come of single connections, as
-    /// exchanges close, reset or forget those that rest.
+    /// Whether it shows that the exchange was unreachable for a while. All other signs may concern single
+    /// connections only, as exchanges close, reset or silently drop idle ones.
     fn is_interruption(self) -> bool {
         match self {
             FailureSign::DialFailed | FailureSign::CheckFailed => true,
@@ -89,7 +100,7 @@
         }
     }
 
-    /// The incarnation whose own connections it speaks of.
+    /// The incarnation whose connections the sign concerns, if it concerns particular connections.
     fn incarnation(self) -> Option<Incarnation> {
         match self {
             FailureSign::Unanswered(_, i) | FailureSign::AllReset(i) | FailureSign::MissedReports(i) => {
@@ -102,79 +113,85 @@
     }
 }
 
-/// What an exchange does with a connection that is closed on it.
+/// What an exchange does with a connection after this side has closed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Habit {
+enum CloseBehavior {
     /// Not known yet.
     #[default]
     Unknown,
-    /// It closes it in return: where it does not, it is not there.
-    Closes,
-    /// It keeps it open for longer than a check takes.
-    Keeps,
+    /// It closes the connection in response; a missing close therefore shows that the process is not there.
+    ClosesInResponse,
+    /// It keeps the connection open for longer than a check takes.
+    KeepsOpen,
 }
 
 /// Connections that are known to lead to one process.
 #[derive(Clone, Copy, Debug)]
-struct Group {
-    /// The first incarnation in it; the group ends where the next begins.
+struct IncarnationGroup {
+    /// The first incarnation in the group, which ends where the next group begins.
     first: Incarnation,
-    /// When its first connection came up.
-    began: Duration,
-    /// The last sign of life on its own connections.
-    proven: Duration,
-    /// It is assumed to be the same process as the group before.
+    /// When its first connection was established.
+    connected_at: Duration,
+    /// Time of the last activity on its own connections.
+    last_activity: Duration,
+    /// Whether it is assumed to be the same process as the previous group.
     is_assumed_same: bool,
-    /// The exchange could not be reached for a while since the last sign of life on its own connections.
+    /// Whether the exchange was unreachable for a while since the last activity on the group's own
+    /// connections.
     is_interrupted: bool,
 }
 
-/// What a review of an exchange comes to.
+/// The result of a liveness review of an exchange.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Review {
     /// Incarnations that are considered dead, by the first of each group; their calls are lost.
     pub dead: Vec<Incarnation>,
     /// The incarnation to be checked now.
     pub check: Option<Incarnation>,
-    /// When to look again.
+    /// When the next review is due.
     pub next: Duration,
 }
 
-/// What is known of the processes at one exchange.
+/// Tracks the liveness of the processes at one exchange.
 #[derive(Debug, Default)]
 pub struct Liveness {
     /// Oldest first.
-    groups: Vec<Group>,
-    /// The incarnation that the next doubtful connection begins.
-    next: u32,
-    /// Weight of adverse observations since the newest process last gave a sign of life, and whether there was any.
-    adverse: u32,
-    is_suspect: bool,
-    /// Among these: a connection in use was dead.
+    groups: Vec<IncarnationGroup>,
+    /// Number of the next incarnation.
+    next_incarnation: u32,
+    /// Total weight of the failure signs since the last activity of the newest process.
+    failure_weight: u32,
+    /// Whether there was any failure sign since then, including those of weight 0.
+    has_failure_signs: bool,
+    /// Whether one of these signs showed that a connection in use is dead.
     has_dead_connection: bool,
-    /// When calls stood there first.
-    first_review: Option<Duration>,
-    /// When a check was last asked for, and since when one is under way.
-    asked: Option<Duration>,
-    checking: Option<Duration>,
-    /// The connection that is closed for it had been in use, so that the exchange can't have forgotten it.
-    is_conclusive: bool,
-    /// It says something first on each new connection.
-    greets: bool,
-    habit: Habit,
+    /// Time of the first review, which is when the first call was established.
+    first_review_at: Option<Duration>,
+    /// When a check was last requested.
+    check_requested_at: Option<Duration>,
+    /// Start of the check in progress.
+    check_started_at: Option<Duration>,
+    /// Whether the connection that is closed for the check had been in use, so that the exchange cannot have
+    /// dropped it as idle.
+    is_check_conclusive: bool,
+    /// Whether the exchange sends data first on each new connection.
+    peer_speaks_first: bool,
+    close_behavior: CloseBehavior,
 }
 
 impl Liveness {
+    /// The index of the group that an incarnation belongs to.
     fn index(&self, incarnation: Incarnation) -> Option<usize> {
         self.groups.iter().rposition(|g| g.first <= incarnation)
     }
 
-    /// The first incarnation of the group that one belongs to; those of one group are the same process.
-    pub fn group(&self, incarnation: Incarnation) -> Incarnation {
+    /// The first incarnation of the group that an incarnation belongs to. All incarnations of a group are the
+    /// same process.
+    pub fn group_id(&self, incarnation: Incarnation) -> Incarnation {
         self.index(incarnation).map_or(incarnation, |i| self.groups[i].first)
     }
 
-    /// Whether newer connections than those of an incarnation may lead to another process.
+    /// Whether newer connections than those of an incarnation may lead to a different process.
     pub fn has_newer(&self, incarnation: Incarnation) -> bool {
         self.index(incarnation).is_none_or(|i| i + 1 < self.groups.len())
     }
@@ -182,108 +199,130 @@
     /// Whether a process is suspected to have failed.
     pub fn is_suspected(&self, incarnation: Incarnation) -> bool {
         let newer = self.index(incarnation).map_or(&self.groups[..], |i| &self.groups[i + 1..]);
-        self.adverse > 0 || newer.iter().any(|g| !g.is_assumed_same)
+        self.failure_weight > 0 || newer.iter().any(|g| !g.is_assumed_same)
     }
 
-    /// Whether it is known to close a connection in response to a close from this side.
+    /// Whether the exchange is known to close a connection in response to a close from this side.
     pub fn closes_in_response(&self) -> bool {
-        self.habit == Habit::Closes
+        self.close_behavior == CloseBehavior::ClosesInResponse
     }
 
-    /// The incarnation of the newest process, which is taken to live where nothing is known of any.
+    /// The incarnation of the newest process. If none is known yet, a first one is created and assumed to be
+    /// alive.
     pub fn newest(&mut self, now: Duration) -> Incarnation {
         match self.groups.last() {
             Some(group) => group.first,
-            None => self.begin(now, false),
+            None => self.begin_incarnation(now, false),
         }
     }
 
-    /// Since when there has been no sign of life of a process.
+    /// Time since the last activity of a process.
     pub fn silent_for(&self, now: Duration, incarnation: Incarnation) -> Duration {
-        now.saturating_sub(self.index(incarnation).map_or(Duration::ZERO, |i| self.proven(i)))
+        now.saturating_sub(self.index(incarnation).map_or(Duration::ZERO, |i| self.last_activity(i)))
     }
 
-    /// The last sign of life of a process: on its own connections, or on those assumed to lead there.
-    fn proven(&self, index: usize) -> Duration {
+    /// Time of the last activity of a process, on its own connections or on later ones that are assumed to
+    /// lead to it.
+    fn last_activity(&self, index: usize) -> Duration {
         let assumed = self.groups[index + 1..].iter().take_while(|g| g.is_assumed_same);
-        assumed.fold(self.groups[index].proven, |proven, g| proven.max(g.proven))
+        assumed.fold(self.groups[index].last_activity, |last_activity, g| {
+            last_activity.max(g.last_activity)
+        })
     }
 
-    fn begin(&mut self, now: Duration, is_assumed_same: bool) -> Incarnation {
-        let first = Incarnation(self.next);
-        self.next = self.next.saturating_add(1);
-        // That it came up proves nothing where there is doubt: the system accepts connections for a process that hangs.
-        let proven = self.groups.len().checked_sub(1).map_or(now, |last| self.proven(last));
-        self.groups.push(Group { first, began: now, proven, is_assumed_same, is_interrupted: false });
-        if self.groups.len() > MOST_INCARNATIONS {
+    /// Adds a group that starts with a new incarnation.
+    fn begin_incarnation(&mut self, now: Duration, is_assumed_same: bool) -> Incarnation {
+        let first = Incarnation(self.next_incarnation);
+        self.next_incarnation = self.next_incarnation.saturating_add(1);
+        // Under suspicion, an established connection is no proof of life: the operating system accepts
+        // connections on behalf of a process that hangs.
+        let last_activity =
+            self.groups.len().checked_sub(1).map_or(now, |last| self.last_activity(last));
+        self.groups.push(IncarnationGroup {
+            first,
+            connected_at: now,
+            last_activity,
+            is_assumed_same,
+            is_interrupted: false,
+        });
+        if self.groups.len() > MAX_INCARNATION_GROUPS {
             self.groups.remove(1);
         }
         if !is_assumed_same {
-            self.clear_adverse();
+            self.clear_failure_signs();
         }
         first
     }
 
-    /// A connection has come up; the incarnation that it leads to.
+    /// A connection was established. Returns the incarnation of the process at its other end.
     pub fn connected(&mut self, now: Duration) -> Incarnation {
         let Some(newest) = self.groups.last().copied() else {
-            return self.begin(now, false);
+            return self.begin_incarnation(now, false);
         };
-        let is_checked = self.checking.is_some_and(|since| newest.began.max(newest.proven) < since);
-        let closes = self.habit == Habit::Closes;
-        let is_stall = !self.has_dead_connection && now < self.last_proven() + STALLS_FOR;
-        let is_suspected = self.adverse >= DOUBTED_FROM && !is_stall;
-        let is_told_apart = newest.is_interrupted && (closes || is_suspected);
-        if is_told_apart || is_checked && self.is_conclusive && closes {
-            return self.begin(now, false);
+        let is_checked = self
+            .check_started_at
+            .is_some_and(|since| newest.connected_at.max(newest.last_activity) < since);
+        let closes_in_response = self.close_behavior == CloseBehavior::ClosesInResponse;
+        let is_stall =
+            !self.has_dead_connection && now < self.newest_last_activity() + MAX_STALL_DURATION;
+        let is_suspected = self.failure_weight >= MIN_SUSPICION_WEIGHT && !is_stall;
+        let is_different_process = newest.is_interrupted && (closes_in_response || is_suspected);
+        if is_different_process || is_checked && self.is_check_conclusive && closes_in_response {
+            return self.begin_incarnation(now, false);
         }
-        if (self.is_suspect || is_checked) && !newest.is_assumed_same {
-            let incarnation = self.begin(now, true);
-            return self.came_up(now, incarnation, is_stall);
+        if (self.has_failure_signs || is_checked) && !newest.is_assumed_same {
+            let incarnation = self.begin_incarnation(now, true);
+            return self.record_connected(now, incarnation, is_stall);
         }
-        self.came_up(now, newest.first, is_stall)
-    }
-
-    /// That a connection comes up is a sign of life where nothing speaks against it, or failed dials alone; but not of
-    /// whoever speaks first on each, and has not done so yet.
-    fn came_up(&mut self, now: Duration, incarnation: Incarnation, is_stall: bool) -> Incarnation {
-        if !self.greets && (!self.is_suspect || is_stall) {
+        self.record_connected(now, newest.first, is_stall)
+    }
+
+    /// Counts an established connection as activity, if there is no failure sign or the process has only
+    /// stalled. An exchange that sends data first on each connection shows activity only once it has done so.
+    fn record_connected(
+        &mut self,
+        now: Duration,
+        incarnation: Incarnation,
+        is_stall: bool,
+    ) -> Incarnation {
+        if !self.peer_speaks_first && (!self.has_failure_signs || is_stall) {
             self.record_activity(now, incarnation);
         }
         incarnation
     }
 
-    /// A sign of life on a connection of an incarnation: connections that came up since lead to the same process.
+    /// Records activity on a connection of an incarnation. Newer connections then lead to the same process,
+    /// so later groups are merged into its group.
     pub fn record_activity(&mut self, now: Duration, incarnation: Incarnation) {
         let Some(index) = self.index(incarnation) else {
             return;
         };
         self.groups.truncate(index + 1);
-        self.groups[index].proven = now;
+        self.groups[index].last_activity = now;
         self.groups[index].is_interrupted = false;
-        self.clear_adverse();
+        self.clear_failure_signs();
     }
 
-    fn clear_adverse(&mut self) {
-        (self.adverse, self.is_suspect, self.has_dead_connection) = (0, false, false);
+    fn clear_failure_signs(&mut self) {
+        (self.failure_weight, self.has_failure_signs, self.has_dead_connection) = (0, false, false);
     }
 
-    /// The last sign of life of the newest process.
-    fn last_proven(&self) -> Duration {
-        self.groups.len().checked_sub(1).map_or(Duration::ZERO, |last| self.proven(last))
+    /// Time of the last activity of the newest process.
+    fn newest_last_activity(&self) -> Duration {
+        self.groups.len().checked_sub(1).map_or(Duration::ZERO, |last| self.last_activity(last))
     }
 
-    /// The peer has closed a connection in good order; `in_response`: this side had closed it before.
+    /// The peer has closed a connection gracefully. `in_response` says whether this side had closed it first.
     pub fn peer_closed(&mut self, now: Duration, incarnation: Incarnation, in_response: bool) {
         if in_response {
-            self.habit = Habit::Closes;
+            self.close_behavior = CloseBehavior::ClosesInResponse;
         }
         self.record_activity(now, incarnation);
     }
 
     /// The peer sent data first on a new connection.
     pub fn peer_spoke_first(&mut self) {
-        self.greets = true;
+        self.peer_speaks_first = true;
     }
 
     /// Records a sign that the process has failed.
@@ -295,91 +334,99 @@
         let is_at_rest = matches!(observation, FailureSign::MissedReportsAtRest(_));
         match index.filter(|i| i + 1 < self.groups.len()) {
             Some(index) if is_at_rest && !self.groups[index].is_interrupted => {}
-            Some(index) => self.tell_apart(index),
+            Some(index) => self.mark_next_group_different(index),
             None if is_at_rest => {}
             None => {
-                self.adverse = self.adverse.saturating_add(observation.weight());
-                self.is_suspect = true;
+                self.failure_weight = self.failure_weight.saturating_add(observation.weight());
+                self.has_failure_signs = true;
                 self.has_dead_connection |= observation.incarnation().is_some();
             }
         }
     }
 
-    /// The connections of a group are dead while newer ones live: these lead elsewhere.
-    fn tell_apart(&mut self, index: usize) {
+    /// Records that the next group is a different process, as connections of this group are dead while newer
+    /// ones are alive.
+    fn mark_next_group_different(&mut self, index: usize) {
         self.groups[index + 1].is_assumed_same = false;
     }
 
-    /// Looks at the processes at which calls stand, by the groups of their incarnations.
-    pub fn review(&mut self, now: Duration, with_calls: &BTreeSet<Incarnation>) -> Review {
-        self.first_review.get_or_insert(now);
-        self.settle_check(now, with_calls);
-        let there: Vec<_> =
-            (0..self.groups.len()).filter(|i| with_calls.contains(&self.groups[*i].first)).collect();
-        let is_lost =
-            |i: &usize| now >= self.proven(*i) + DEAD_AFTER && self.is_suspected(self.groups[*i].first);
-        let (dead, live): (Vec<_>, Vec<_>) = there.into_iter().partition(is_lost);
+    /// Reviews the processes that have established calls, given by the first incarnation of each group.
+    pub fn review(&mut self, now: Duration, processes_with_calls: &BTreeSet<Incarnation>) -> Review {
+        self.first_review_at.get_or_insert(now);
+        self.finish_check(now, processes_with_calls);
+        let candidates: Vec<_> = (0..self.groups.len())
+            .filter(|i| processes_with_calls.contains(&self.groups[*i].first))
+            .collect();
+        let is_dead = |i: &usize| {
+            now >= self.last_activity(*i) + SILENCE_TIMEOUT && self.is_suspected(self.groups[*i].first)
+        };
+        let (dead, live): (Vec<_>, Vec<_>) = candidates.into_iter().partition(is_dead);
         let dead = dead.into_iter().map(|i| self.groups[i].first).collect();
-        // What is assumed of a process is looked into as well: its own signs of life count here.
-        let oldest = live.iter().copied().min_by_key(|i| self.groups[*i].proven);
+        // A process that is only assumed to be alive is checked as well, so this considers the activity on
+        // its own connections alone.
+        let oldest = live.iter().copied().min_by_key(|i| self.groups[*i].last_activity);
         let check = oldest.filter(|i| now >= self.next_check(now, *i));
         if check.is_some() {
-            self.asked = Some(now);
+            self.check_requested_at = Some(now);
         }
         let next = self.next_review(now, oldest, &live);
         Review { dead, check: check.map(|i| self.groups[i].first), next }
     }
 
-    /// A check that was asked for has begun. Without one that could begin, silence proves nothing.
-    /// `is_conclusive`: the connection that is closed for it had been in use.
+    /// A requested check has started; silence alone, without a started check, is no sign of failure.
+    /// `is_conclusive` says whether the connection that is closed for the check had been in use.
     pub fn check_started(&mut self, now: Duration, is_conclusive: bool) {
-        self.checking = Some(now);
-        self.is_conclusive = is_conclusive;
+        self.check_started_at = Some(now);
+        self.is_check_conclusive = is_conclusive;
     }
 
-    /// When a process is to be checked: once it has been silent, and again while it is. One that is assumed to live is
-    /// not checked as often.
+    /// When a process is to be checked: after it has been silent, and repeatedly while it remains silent. A
+    /// process that is assumed to be alive is checked less often.
     fn next_check(&self, now: Duration, index: usize) -> Duration {
-        if self.habit == Habit::Unknown {
-            let first = self.first_review.map_or(now, |at| at + CHECK_AFTER_AT_FIRST);
-            return first.max(self.asked.map_or(Duration::ZERO, |at| at + CHECK_TAKES));
+        if self.close_behavior == CloseBehavior::Unknown {
+            let first = self.first_review_at.map_or(now, |at| at + FIRST_CHECK_DELAY);
+            return first.max(self.check_requested_at.map_or(Duration::ZERO, |at| at + CHECK_TIMEOUT));
         }
-        let is_assumed = now < self.proven(index) + CHECK_AFTER;
-        let pause = if is_assumed { CHECK_AFTER } else { CHECK_TAKES };
-        let again = self.asked.map_or(Duration::ZERO, |at| at + pause);
-        again.max(self.groups[index].proven + CHECK_AFTER)
+        let is_assumed_alive = now < self.last_activity(index) + CHECK_DELAY;
+        let interval = if is_assumed_alive { CHECK_DELAY } else { CHECK_TIMEOUT };
+        let next = self.check_requested_at.map_or(Duration::ZERO, |at| at + interval);
+        next.max(self.groups[index].last_activity + CHECK_DELAY)
     }
 
-    /// A check that has had its time without a sign of life has failed.
-    fn settle_check(&mut self, now: Duration, with_calls: &BTreeSet<Incarnation>) {
-        let Some(since) = self.checking.filter(|since| now >= *since + CHECK_TAKES) else {
+    /// Ends a check that has timed out. It has failed if there was no activity since its start.
+    fn finish_check(&mut self, now: Duration, processes_with_calls: &BTreeSet<Incarnation>) {
+        let Some(since) = self.check_started_at.filter(|since| now >= *since + CHECK_TIMEOUT) else {
             return;
         };
-        self.checking = None;
-        if self.habit == Habit::Unknown {
-            self.habit = Habit::Keeps;
+        self.check_started_at = None;
+        if self.close_behavior == CloseBehavior::Unknown {
+            self.close_behavior = CloseBehavior::KeepsOpen;
         }
-        let failed =
-            |i: &usize| with_calls.contains(&self.groups[*i].first) && self.groups[*i].proven < since;
+        let failed = |i: &usize| {
+            processes_with_calls.contains(&self.groups[*i].first)
+                && self.groups[*i].last_activity < since
+        };
         let Some(index) = (0..self.groups.len()).find(failed) else {
             return;
         };
-        if self.proven(index) < since {
+        if self.last_activity(index) < since {
             self.record_failure_sign(FailureSign::CheckFailed);
-        } else if self.habit == Habit::Closes
+        } else if self.close_behavior == CloseBehavior::ClosesInResponse
             && index + 1 < self.groups.len()
-            && (self.is_conclusive || self.groups[index].is_interrupted)
+            && (self.is_check_conclusive || self.groups[index].is_interrupted)
         {
-            self.tell_apart(index);
+            self.mark_next_group_different(index);
         }
     }
 
+    /// When the next review is due: when a process may be considered dead, the next check or the end of the
+    /// current one is due, and after twice the check timeout at the latest.
     fn next_review(&self, now: Duration, oldest: Option<usize>, live: &[usize]) -> Duration {
-        let dead_at = live.iter().map(|i| self.proven(*i) + DEAD_AFTER);
+        let dead_at = live.iter().map(|i| self.last_activity(*i) + SILENCE_TIMEOUT);
         let check = oldest.map(|i| self.next_check(now, i));
-        let settled = self.checking.map(|since| since + CHECK_TAKES);
-        let due = dead_at.chain(check).chain(settled).filter(|at| *at > now).min();
-        due.map_or(now + CHECK_TAKES, |at| at.min(now + CHECK_TAKES * 2))
+        let check_ends_at = self.check_started_at.map(|since| since + CHECK_TIMEOUT);
+        let due = dead_at.chain(check).chain(check_ends_at).filter(|at| *at > now).min();
+        due.map_or(now + CHECK_TIMEOUT, |at| at.min(now + CHECK_TIMEOUT * 2))
     }
 }
 
@@ -391,19 +438,20 @@
         Duration::from_millis(n)
     }
 
-    /// Reviews every 50 ms until something is lost; when.
-    fn lost_at(liveness: &mut Liveness, from: u64, with: Incarnation) -> Option<u64> {
-        let with_calls = BTreeSet::from([with]);
+    /// Reviews the process every 50 ms from `from` on. Returns the time at which it is considered dead.
+    fn dead_at(liveness: &mut Liveness, from: u64, incarnation: Incarnation) -> Option<u64> {
+        let processes_with_calls = BTreeSet::from([incarnation]);
         (from..from + 30_000).step_by(50).find(|at| {
-            let review = liveness.review(ms(*at), &with_calls);
+            let review = liveness.review(ms(*at), &processes_with_calls);
             review.check.iter().for_each(|_| liveness.check_started(ms(*at), true));
             !review.dead.is_empty()
         })
     }
 
-    /// Guards against doubt in an exchange since a connection was reset while new, or could not be made from here.
+    /// Guards against suspecting an exchange because a new connection was reset, or because this side had no
+    /// socket or ended the dial itself.
     #[test]
-    fn only_a_dial_that_was_refused_or_never_came_up_speaks_against_an_exchange() {
+    fn only_a_refused_or_timed_out_dial_is_a_failure_sign() {
         for end in [
             EndReason::ResetBeforeUse,
             EndReason::NoSocket,
@@ -418,48 +466,59 @@
         }
     }
 
-    /// Guards against calls that are cut since nobody looked: silence alone proves nothing.
+    /// Guards against dropping calls because of silence alone: a silent process is checked first, and is not
+    /// considered dead while new connections to it are established.
     #[test]
-    fn silence_is_checked_and_loses_nothing_by_itself_while_connections_come_up() {
+    fn a_silent_process_is_checked_and_kept_while_connections_succeed() {
         let mut liveness = Liveness::default();
         let one = liveness.connected(ms(0));
-        let with_calls = BTreeSet::from([one]);
+        let processes_with_calls = BTreeSet::from([one]);
         let due = Review { next: ms(500), ..Review::default() };
-        assert_eq!(liveness.review(ms(0), &with_calls), due);
-        assert_eq!(liveness.review(ms(500), &with_calls).check, Some(one));
+        assert_eq!(liveness.review(ms(0), &processes_with_calls), due);
+        assert_eq!(liveness.review(ms(500), &processes_with_calls).check, Some(one));
         liveness.check_started(ms(500), true);
-        assert_eq!(liveness.review(ms(550), &with_calls).check, None, "one at a time");
+        assert_eq!(liveness.review(ms(550), &processes_with_calls).check, None, "one check at a time");
         let new = liveness.connected(ms(600));
-        assert_eq!(liveness.silent_for(ms(600), one), ms(0), "assumed to be the same");
-        assert_eq!(liveness.review(ms(1500), &with_calls).next, ms(2500), "it has not closed in return");
-        assert_eq!(liveness.review(ms(2500), &with_calls).check, Some(one));
+        assert_eq!(liveness.silent_for(ms(600), one), ms(0), "assumed to be the same process");
+        assert_eq!(
+            liveness.review(ms(1500), &processes_with_calls).next,
+            ms(2500),
+            "the exchange has not closed the old connection in response"
+        );
+        assert_eq!(liveness.review(ms(2500), &processes_with_calls).check, Some(one));
         assert_eq!(liveness.connected(ms(2700)), new);
-        assert!(!liveness.is_suspected(one) && liveness.review(ms(9000), &with_calls).dead.is_empty());
+        assert!(
+            !liveness.is_suspected(one)
+                && liveness.review(ms(9000), &processes_with_calls).dead.is_empty()
+        );
     }
 
-    /// Guards against a loss long before the rules ask for it, or after.
+    /// Guards against dropping calls long before the release is due, or after it is.
     #[test]
-    fn what_is_doubted_is_lost_in_time() {
+    fn a_suspected_process_is_dead_after_the_silence_limit() {
         let mut liveness = Liveness::default();
         let one = liveness.connected(ms(0));
         liveness.record_activity(ms(1000), one);
         liveness.record_failure_sign(FailureSign::DialFailed);
-        assert_eq!(lost_at(&mut liveness, 3500, one), Some(8200));
+        assert_eq!(dead_at(&mut liveness, 3500, one), Some(8200));
     }
 
-    /// Guards against a process that the system answers for: one that always spoke first and no longer does.
+    /// Guards against taking a hung process for alive because the operating system still accepts its
+    /// connections: an exchange that always sends data first on a new connection, and no longer does, is not
+    /// alive.
     #[test]
-    fn a_connection_that_comes_up_proves_nothing_of_whoever_speaks_first() {
+    fn a_connection_is_no_activity_of_an_exchange_that_speaks_first() {
         let mut liveness = Liveness::default();
         liveness.peer_spoke_first();
         let one = liveness.connected(ms(0));
         assert_eq!(liveness.connected(ms(2500)), one);
-        assert_eq!(lost_at(&mut liveness, 2500, one), Some(7200));
+        assert_eq!(dead_at(&mut liveness, 2500, one), Some(7200));
     }
 
-    /// Guards against a new process that vouches for calls at the one before.
+    /// Guards against counting the activity of a new process as activity of the previous one, whose calls are
+    /// lost.
     #[test]
-    fn after_an_outage_only_the_old_connections_prove_the_old_process() {
+    fn after_an_outage_only_old_connections_show_that_the_old_process_is_alive() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
         liveness.record_failure_sign(FailureSign::DialFailed);
@@ -467,41 +526,41 @@
         let new = liveness.connected(ms(3100));
         assert!(new != old && liveness.is_suspected(old) && !liveness.is_suspected(new));
         liveness.record_activity(ms(3200), new);
-        assert_eq!(liveness.connected(ms(3300)), new, "more of them lead to the same process");
-        assert_eq!(lost_at(&mut liveness, 3300, old), Some(7200));
-        assert_eq!(liveness.group(new), new);
+        assert_eq!(liveness.connected(ms(3300)), new, "further connections lead to the same process");
+        assert_eq!(dead_at(&mut liveness, 3300, old), Some(7200));
+        assert_eq!(liveness.group_id(new), new);
     }
 
-    /// Guards against calls cut at a process that stalled for a while and has nothing to say, and against a new process
-    /// that comes after a longer outage and vouches for the one before.
+    /// Guards against dropping calls at a process that stalled for a while and has nothing to send, and
+    /// against counting the activity of a new process after a longer outage as activity of the previous one.
     #[test]
-    fn whoever_comes_back_soon_after_failed_dials_alone_is_taken_for_the_same() {
-        for (back, is_same) in [(4500, true), (5000, false)] {
+    fn after_failed_dials_alone_a_process_reachable_soon_is_assumed_to_be_the_same() {
+        for (reachable_at, is_same) in [(4500, true), (5000, false)] {
             let mut liveness = Liveness::default();
             let old = liveness.connected(ms(0));
             (0..3).for_each(|_| liveness.record_failure_sign(FailureSign::DialFailed));
-            let new = liveness.connected(ms(back));
-            liveness.record_activity(ms(back), new);
-            assert_eq!(liveness.is_suspected(old), !is_same, "{back}");
+            let new = liveness.connected(ms(reachable_at));
+            liveness.record_activity(ms(reachable_at), new);
+            assert_eq!(liveness.is_suspected(old), !is_same, "reachable at {reachable_at} ms");
         }
     }
 
-    /// Guards against calls cut at a process that was cut off and is there again.
+    /// Guards against dropping calls at a process that was unreachable for a while and is reachable again.
     #[test]
-    fn an_old_connection_that_speaks_shows_that_it_is_the_same_process() {
+    fn activity_on_an_old_connection_shows_that_the_process_is_the_same() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
         liveness.record_failure_sign(FailureSign::AllReset(old));
         let new = liveness.connected(ms(4100));
         liveness.record_activity(ms(4200), old);
-        assert_eq!(liveness.group(new), old);
+        assert_eq!(liveness.group_id(new), old);
         assert!(!liveness.has_newer(old));
     }
 
-    /// Guards against trust in a connection that comes up after an interruption while the old ones are not closed in
-    /// return, as this process has always done.
+    /// Guards against assuming that a connection established after an interruption leads to the old process,
+    /// although that process has always closed connections in response and has not closed the old one now.
     #[test]
-    fn whoever_closes_in_return_is_told_apart_after_one_dial_that_failed() {
+    fn a_process_that_closes_in_response_is_suspected_after_one_failed_dial() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
         liveness.peer_closed(ms(10), old, true);
@@ -509,13 +568,13 @@
         let new = liveness.connected(ms(3520));
         assert!(liveness.is_suspected(old) && !liveness.is_suspected(new));
         liveness.peer_closed(ms(3530), old, true);
-        assert_eq!(liveness.group(new), old, "it has closed in return");
+        assert_eq!(liveness.group_id(new), old, "the old process has closed in response");
     }
 
-    /// Guards against calls cut at an exchange that leaves idle connections open and serves them no more: a check that is
-    /// not answered by a close proves nothing while the exchange can be reached.
+    /// Guards against dropping calls at an exchange that stops serving idle connections without closing them:
+    /// while the exchange is reachable, a check that is not answered by a close proves nothing.
     #[test]
-    fn without_an_interruption_dead_connections_are_forgotten_ones() {
+    fn without_an_interruption_dead_idle_connections_are_no_sign_of_failure() {
         let mut liveness = Liveness::default();
         let old = liveness.connected(ms(0));
         liveness.peer_closed(ms(10), old, true);
@@ -529,10 +588,11 @@
         assert_eq!(liveness.silent_for(ms(2500), old), ms(0));
     }
 
-    /// Guards against one dial that never comes up, or one lost answer, by which a living process is doubted; and against
-    /// a new process that vouches for the one before, where the old connections turn out to be dead.
+    /// Guards against suspecting a live process because of one dial that failed or one lost answer; and
+    /// against counting the activity of a new process as activity of the previous one when the old
+    /// connections turn out to be dead.
     #[test]
-    fn after_one_adverse_observation_connections_are_assumed_to_lead_to_the_same_process() {
+    fn after_one_failure_sign_new_connections_are_assumed_to_lead_to_the_same_process() {
         let first = Incarnation(0);
         for observation in
             [FailureSign::DialFailed, FailureSign::Unanswered(1, first), FailureSign::Reset]
@@ -546,7 +606,7 @@
             assert_eq!(liveness.silent_for(ms(6000), old), ms(0));
             liveness.record_failure_sign(FailureSign::MissedReports(old));
             assert!(liveness.is_suspected(old) && !liveness.is_suspected(new), "{observation:?}");
-            assert_eq!(lost_at(&mut liveness, 6000, old), Some(7200));
+            assert_eq!(dead_at(&mut liveness, 6000, old), Some(7200));
         }
     }
 }
--- a/node/src/log_events.rs
+++ b/node/src/log_events.rs
@@ -1,4 +1,5 @@
-//! The log events of the engine: transitions and ends, each with its ids and its reason.
+//! The log events of the engine: state changes and ends of calls and exchanges, each with its ids and its
+//! reason.
 
 use crate::end::EndReason;
 use crate::liveness::FailureSign;
@@ -6,47 +7,47 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One event of the engine for the log.
+/// One event of the engine that is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A call that stood is over, and its caller is being told.
+    /// An established call has ended, and its caller is sent a release.
     Released {
         /// The caller's id of the call.
         call: String,
-        /// Where it stood.
+        /// The exchange at which it was established.
         exchange: String,
-        /// Why it is over.
+        /// Why it has ended.
         why: EndReason,
-        /// For how long it stood.
-        stood: Duration,
+        /// How long it was established.
+        duration: Duration,
     },
     /// A call was refused.
     Refused {
         /// The caller's id of the call.
         call: String,
-        /// Set-ups that were sent for it.
+        /// Number of its attempts.
         attempts: u32,
-        /// How the last one ended.
+        /// How the last attempt ended.
         last: Option<EndReason>,
     },
     /// A call has failed.
     Failed {
         /// The caller's id of the call.
         call: String,
-        /// Set-ups that were sent for it.
+        /// Number of its attempts.
         attempts: u32,
-        /// How the last one ended.
+        /// How the last attempt ended.
         last: Option<EndReason>,
     },
     /// A call is set up again.
     Retried {
         /// The caller's id of the call.
         call: String,
-        /// Where it goes now.
+        /// The exchange that receives the new set-up.
         exchange: String,
-        /// Which of its attempts this is, from 0.
+        /// The number of this attempt, counted from 0.
         attempt: u32,
-        /// How the one before ended.
+        /// How the previous attempt ended.
         after: Option<EndReason>,
     },
     /// An exchange with established calls is suspected to have failed.
@@ -55,40 +56,40 @@
         exchange: String,
         /// What was observed.
         observation: FailureSign,
-        /// For how long there had been no sign of life.
-        silent: Duration,
+        /// Time since the last activity.
+        silent_for: Duration,
     },
-    /// A connection came up that may lead to another process than the ones before.
+    /// A connection was established that may lead to a different process than the earlier ones.
     NewIncarnation {
         /// The exchange.
         exchange: String,
-        /// It is assumed to be the same process until something speaks against it.
+        /// Whether it is assumed to be the same process until there is evidence against it.
         is_assumed_same: bool,
     },
-    /// A process has given no sign of life for too long: its calls are released.
+    /// A suspected process has been silent for too long: its calls are released.
     ExchangeDead {
         /// The exchange.
         exchange: String,
-        /// How many calls stood there.
+        /// Number of calls that were established there.
         calls: usize,
-        /// For how long there had been no sign of life.
-        silent: Duration,
+        /// Time since the last activity.
+        silent_for: Duration,
     },
     /// An update of the list changed the phase of an exchange.
     PhaseChanged {
         /// The exchange.
         exchange: String,
-        /// What it did before; none where it is new.
+        /// The previous phase; `None` if the exchange is new.
         from: Option<Phase>,
-        /// What it does now.
+        /// The current phase.
         to: Phase,
-        /// Whether it has started anew.
+        /// Whether the exchange was restarted.
         restarted: bool,
     },
 }
 
 impl LogEvent {
-    /// The kind of the log's line.
+    /// The kind of the log line.
     pub fn kind(&self) -> &'static str {
         match self {
             LogEvent::Released { .. } => "call-released",
@@ -105,21 +106,22 @@
     /// Maximum number of lines of this kind in one rate limit interval of the log.
     pub fn max_lines(&self) -> u32 {
         match self {
-            LogEvent::Released { .. } => MOST_RELEASES,
-            _ => MOST_OTHERS,
+            LogEvent::Released { .. } => MAX_RELEASE_LINES,
+            _ => MAX_LINES,
         }
     }
 }
 
-/// Lines in one span of a kind by which single calls are followed: some hundred calls stand at an exchange.
-const MOST_RELEASES: u32 = 200;
-/// Lines in one span of any other kind.
-const MOST_OTHERS: u32 = 10;
+/// Maximum number of release lines in one rate limit interval. These lines allow single calls to be traced,
+/// and some hundred calls are established at one exchange.
+const MAX_RELEASE_LINES: u32 = 200;
+/// Maximum number of lines of any other kind in one rate limit interval.
+const MAX_LINES: u32 = 10;
 
-/// How an attempt ended, where there was one.
-struct Last<'a>(&'a Option<EndReason>);
+/// Formats how the last attempt ended; `none` if there was no attempt.
+struct LastEnd<'a>(&'a Option<EndReason>);
 
-impl fmt::Display for Last<'_> {
+impl fmt::Display for LastEnd<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(end) => f.write_str(end.name()),
@@ -131,23 +133,31 @@
 impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogEvent::Released { call, exchange, why, stood } => {
-                write!(f, "call={call} exchange={exchange} why=\"{why}\" stood_ms={}", stood.as_millis())
+            LogEvent::Released { call, exchange, why, duration } => {
+                write!(
+                    f,
+                    "call={call} exchange={exchange} why=\"{why}\" stood_ms={}",
+                    duration.as_millis()
+                )
             }
             LogEvent::Refused { call, attempts, last } | LogEvent::Failed { call, attempts, last } => {
-                write!(f, "call={call} attempts={attempts} last=\"{}\"", Last(last))
+                write!(f, "call={call} attempts={attempts} last=\"{}\"", LastEnd(last))
             }
             LogEvent::Retried { call, exchange, attempt, after } => {
-                write!(f, "call={call} exchange={exchange} attempt={attempt} after=\"{}\"", Last(after))
+                write!(
+                    f,
+                    "call={call} exchange={exchange} attempt={attempt} after=\"{}\"",
+                    LastEnd(after)
+                )
             }
-            LogEvent::Suspected { exchange, observation, silent } => {
-                write!(f, "exchange={exchange} by={observation:?} silent_ms={}", silent.as_millis())
+            LogEvent::Suspected { exchange, observation, silent_for } => {
+                write!(f, "exchange={exchange} by={observation:?} silent_ms={}", silent_for.as_millis())
             }
             LogEvent::NewIncarnation { exchange, is_assumed_same } => {
                 write!(f, "exchange={exchange} assumed_same={is_assumed_same}")
             }
-            LogEvent::ExchangeDead { exchange, calls, silent } => {
-                write!(f, "exchange={exchange} calls={calls} silent_ms={}", silent.as_millis())
+            LogEvent::ExchangeDead { exchange, calls, silent_for } => {
+                write!(f, "exchange={exchange} calls={calls} silent_ms={}", silent_for.as_millis())
             }
             LogEvent::PhaseChanged { exchange, from, to, restarted } => {
                 write!(f, "exchange={exchange} from={from:?} to={to:?} restarted={restarted}")
@@ -160,18 +170,18 @@
 mod tests {
     use super::*;
 
-    /// Guards against lines that lack the id to follow a call by, or the reason.
+    /// Guards against log lines without the reason or without the ids that are needed to trace a call.
     #[test]
-    fn a_notice_names_ids_and_reasons() {
-        let notice = LogEvent::Released {
+    fn a_log_event_contains_ids_and_reasons() {
+        let event = LogEvent::Released {
             call: "9b1f".to_owned(),
             exchange: "s-one".to_owned(),
             why: EndReason::Dropped,
-            stood: Duration::from_millis(1500),
+            duration: Duration::from_millis(1500),
         };
-        let line = format!("{}: {notice}", notice.kind());
+        let line = format!("{}: {event}", event.kind());
         insta::assert_snapshot!(line, @r#"call-released: call=9b1f exchange=s-one why="cut" stood_ms=1500"#);
-        let notice = LogEvent::Refused { call: "9b1f".to_owned(), attempts: 0, last: None };
-        insta::assert_snapshot!(notice.to_string(), @r#"call=9b1f attempts=0 last="none""#);
+        let event = LogEvent::Refused { call: "9b1f".to_owned(), attempts: 0, last: None };
+        insta::assert_snapshot!(event.to_string(), @r#"call=9b1f attempts=0 last="none""#);
     }
 }
