--- a/node/src/arena.rs
+++ b/node/src/arena.rs
@@ -11,12 +11,12 @@
 pub struct Token(u64);
 
 impl Token {
-    /// The token as a number below 2^60.
+    /// The token as a number, which is below 2^60.
     pub fn bits(self) -> u64 {
         self.0
     }
 
-    /// The token that [`Token::bits`] gave.
+    /// Converts a number from [`Token::bits`] back to the token.
     pub fn from_bits(bits: u64) -> Self {
         Token(bits)
     }
@@ -36,7 +36,7 @@
 }
 
 impl<T> Arena<T> {
-    /// Stores what `make` builds from its own token.
+    /// Stores the entry that `make` builds from its token.
     pub fn insert_with(&mut self, make: impl FnOnce(Token) -> T) -> Token {
         self.generation = (self.generation + 1) % (1 << GENERATION_BITS);
         let vacant = self.slab.vacant_entry();
@@ -54,19 +54,19 @@
         ((token.0 & 0xffff_ffff) as usize, token.0 >> 32)
     }
 
-    /// The entry, unless it is gone.
+    /// The entry, unless it was removed.
     pub fn get(&self, token: Token) -> Option<&T> {
         let (slot, generation) = Self::slot(token);
         self.slab.get(slot).filter(|(g, _)| *g == generation).map(|(_, entry)| entry)
     }
 
-    /// The entry, unless it is gone.
+    /// The entry for changes, unless it was removed.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut T> {
         let (slot, generation) = Self::slot(token);
         self.slab.get_mut(slot).filter(|(g, _)| *g == generation).map(|(_, entry)| entry)
     }
 
-    /// Takes the entry out, unless it is gone.
+    /// Removes and returns the entry, unless it was removed before.
     pub fn remove(&mut self, token: Token) -> Option<T> {
         self.get(token)?;
         Some(self.slab.remove(Self::slot(token).0).1)
@@ -77,17 +77,17 @@
         self.slab.iter().map(|(slot, (g, entry))| (Token(g << 32 | slot as u64), entry))
     }
 
-    /// All entries with their tokens, to be changed.
+    /// All entries for changes, with their tokens.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Token, &mut T)> {
         self.slab.iter_mut().map(|(slot, (g, entry))| (Token(*g << 32 | slot as u64), entry))
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.slab.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.slab.is_empty()
     }
@@ -97,14 +97,15 @@
 mod tests {
     use super::*;
 
-    /// Guards against a late event for a closed connection or ended call that hits the slot's next owner.
+    /// Guards against a late event for a closed connection or an ended call that reaches the next entry in
+    /// the same slot.
     #[test]
-    fn a_token_goes_stale_with_its_entry() {
+    fn a_token_is_invalid_after_its_entry_is_removed() {
         let mut arena = Arena::default();
         let old = arena.insert("old");
         assert_eq!(arena.remove(old), Some("old"));
         let new = arena.insert("new");
-        assert_eq!(old.bits() & 0xffff_ffff, new.bits() & 0xffff_ffff, "the slot is used again");
+        assert_eq!(old.bits() & 0xffff_ffff, new.bits() & 0xffff_ffff, "the slot is reused");
         assert_eq!(arena.remove(old), None);
         assert_eq!(arena.get(old), None);
         assert_eq!(arena.get(new), Some(&"new"));
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,5 @@
-//! The one place where the environment, `ROUTER_CONFIG` and the operator's file are read, checked and
-//! given defaults. Every error names the key at fault.
+//! Reads and validates the whole configuration: the environment, the file that `ROUTER_CONFIG` names and the
+//! operator's file. All defaults are set here. Every error names the faulty key.
 
 use crate::net::conn::BufferLimits;
 use crate::net::lines;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// How long a connection may take to come up where the settings do not say.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Default timeout for establishing a connection.
+const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Deepest nesting of the configuration that is read; the settings have six levels.
-const DEEPEST: usize = 64;
+/// Maximum nesting depth of the JSON configuration that is accepted; the settings have six levels.
+const MAX_JSON_DEPTH: usize = 64;
 
 /// An event of the journal service: an update of the exchange list.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,38 +25,39 @@
     pub position: u64,
     /// Whether it holds the full list.
     pub full: bool,
-    /// The lines, each with the exchange's address.
+    /// The entries, each with the address of the exchange.
     pub lines: Vec<(NamedEntry, SocketAddr)>,
 }
 
-/// What the process may hold, and the bounds of its tables and buffers that follow from it.
+/// The resource limits of the process, and the limits of its tables and buffers that are derived from them.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Bytes of memory.
+    /// Maximum memory in bytes.
     pub memory: usize,
 }
 
 impl Limits {
-    /// Number of client connections from which on idle ones are closed for new ones. Callers hold a third
-    /// of the descriptors at most; the rest of this half is for those that are not callers.
+    /// Number of client connections from which on idle ones are closed to make room for new ones. Callers use
+    /// at most a third of the descriptors; the rest of this half is for clients that are not callers.
     pub fn idle_clients_from(&self) -> usize {
         self.sockets / 2
     }
 
-    /// Number of client connections from which on new ones are not accepted while none is idle.
+    /// Number of client connections from which on no new one is accepted unless an idle one can be closed.
     pub fn max_clients(&self) -> usize {
         self.sockets * 5 / 8
     }
 
-    /// Number of connections to one exchange. A spoilt answer costs all set-ups on its connection, so there are
-    /// several; more than four get no reports.
+    /// Number of connections to one exchange. There are several because one malformed answer ends all pending
+    /// set-ups on its connection; there are at most four because connections beyond that get no reports.
     pub fn connections_per_exchange(&self) -> usize {
         (self.sockets / 64).clamp(1, 4)
     }
 
-    /// Buffer limits of a client's connection: all of them together may hold a quarter of the memory.
+    /// Buffer limits of a client connection. The buffers of all client connections together may use a quarter
+    /// of the memory.
     pub fn client_buffer_limits(&self) -> BufferLimits {
         let each = self.memory / 4 / self.sockets.max(1);
         BufferLimits { max_line: lines::MAX_MESSAGE, max_buffered: each.max(2 * lines::MAX_MESSAGE) }
@@ -70,23 +71,24 @@
         }
     }
 
-    /// Buffer limits of the connection to the journal service: a whole list is longer than a message.
+    /// Buffer limits of the connection to the journal service. A line may exceed the maximum message size, as
+    /// a full list is longer than a message.
     pub fn journal_buffer_limits(&self) -> BufferLimits {
         let max_line = (self.memory / 32).clamp(4 * lines::MAX_MESSAGE, 64 * lines::MAX_MESSAGE);
         BufferLimits { max_line, max_buffered: lines::MAX_MESSAGE }
     }
 
-    /// Connections of operators. Silent ones make way beyond this.
+    /// Maximum number of operator connections. Beyond it, a silent one is closed for each new one.
     pub fn operators(&self) -> usize {
         (self.sockets / 16).clamp(4, 32)
     }
 
-    /// Buffer limits of an operator's connection: the calls are short, and so are the answers.
+    /// Buffer limits of an operator connection: both the commands and the answers are short.
     pub fn operator_buffer_limits(&self) -> BufferLimits {
         BufferLimits { max_line: 256, max_buffered: 4 * lines::MAX_MESSAGE }
     }
 
-    /// Streams of the SIP front.
+    /// Maximum number of TCP connections of the SIP front.
     pub fn sip_streams(&self) -> usize {
         self.sockets / 4
     }
@@ -97,101 +99,102 @@
         BufferLimits { max_line: message::MAX_MESSAGE, max_buffered: each.max(2 * message::MAX_MESSAGE) }
     }
 
-    /// Transactions of the SIP front, and legs of calls there: an eighth of the memory, at 4 KiB for each with what
-    /// it may have to send again.
+    /// Maximum number of SIP transactions, and also of SIP call legs: an eighth of the memory, at 4 KiB each,
+    /// which includes the messages kept for retransmission.
     pub fn transactions(&self) -> usize {
         (self.memory / 8 / 4096).max(256)
     }
 
-    /// Calls that are owed an answer, over all fronts: an eighth of the memory, were each description as long
-    /// as a message can be.
+    /// Maximum number of calls without a final answer, over all fronts: an eighth of the memory, if each
+    /// session description has the maximum message size.
     pub fn calls(&self) -> usize {
         (self.memory / 8 / lines::MAX_MESSAGE).max(64)
     }
 }
 
-/// All that the call controller is told.
+/// The complete configuration of the call controller.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The name of this call controller in the log.
     pub name: String,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// The descriptor of the listening socket at that address, where the platform holds it and hands it down.
+    /// File descriptor of the listening socket at that address, if the platform has opened it and passes it
+    /// on.
     pub inherited_fd: Option<u16>,
-    /// Where operators call; nowhere, should it be missing.
+    /// Listening address for operators; `None` disables operator access.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What the process may hold.
+    /// The resource limits.
     pub limits: Limits,
-    /// The journal service.
+    /// Address of the journal service.
     pub journal: SocketAddr,
-    /// The last event known at the start.
+    /// Position of the last journal event that is known at the start.
     pub position: u64,
-    /// The events up to it.
+    /// The journal events up to that position.
     pub known: Vec<ListEvent>,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Settings for reading messages.
     pub wire: WireConfig,
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection.
     pub dial_timeout: Duration,
-    /// The SIP front; off where there is no operator's file, or none in it.
+    /// Settings of the SIP front. `None`, which disables it, if there is no operator's file or none in it.
     pub sip: Option<SipConfig>,
 }
 
-/// The SIP front, as the operator's file sets it up.
+/// Settings of the SIP front, from the operator's file.
 #[derive(Clone, Debug)]
 pub struct SipConfig {
-    /// Where it listens.
+    /// Listening address for UDP.
     pub udp: Option<SocketAddr>,
-    /// Where it listens.
+    /// Listening address for TCP.
     pub tcp: Option<SocketAddr>,
-    /// The base times of RFC 3261.
+    /// The timers T1, T2 and T4 of RFC 3261.
     pub times: Times,
-    /// Exchanges that are reached over SIP.
+    /// Addresses of the exchanges that are reached over SIP.
     pub exchanges: BTreeMap<ExchangeNumber, Target>,
     /// The number plan.
     pub numbers: Vec<SipNumber>,
 }
 
-/// A line of the number plan.
+/// An entry of the number plan.
 #[derive(Clone, Debug)]
 pub struct SipNumber {
-    /// How the numbers begin.
+    /// Prefix of the dialled numbers that this entry applies to.
     pub prefix: String,
-    /// Where calls to them go.
+    /// The exchange that serves these numbers.
     pub exchange: ExchangeNumber,
-    /// The class of calls to them.
+    /// The class of calls to these numbers.
     pub class: String,
-    /// Circuits that such a call takes.
+    /// Number of circuits that such a call occupies.
     pub circuits: u32,
 }
 
-/// The part of the settings that is needed to read messages.
+/// The settings that are needed to read messages.
 #[derive(Clone, Debug, Default)]
 pub struct WireConfig {
-    /// Classes, in order.
+    /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// How long callers of each class wait at most.
+    /// Maximum time that callers of each class wait.
     pub deadlines: Vec<Duration>,
-    /// Zones, in order.
+    /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// The report fields for free circuits and group size.
+    /// Names of the report fields for the number of free circuits and the size of the trunk group.
     pub report: [String; 2],
-    /// Whether exchanges may be asked whether they live.
+    /// Whether liveness probes may be sent to exchanges.
     pub may_probe: bool,
 }
 
 impl Config {
-    /// Reads the configuration that the environment names.
+    /// Reads the configuration from the environment and the files that it names.
     pub fn from_env() -> Result<Self, String> {
         let var = |key: &str| std::env::var(key).map_err(|_| format!("{key}: not set, or not UTF-8"));
         let path = var("ROUTER_CONFIG")?;
         let text = std::fs::read_to_string(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
         let mut config = Self::parse(&text).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
-        // The environment repeats some of the keys; where it has them, it is right.
+        // The environment repeats some of the keys and takes precedence over the file.
         if let Ok(name) = std::env::var("ROUTER_NAME") {
             config.name = name;
         }
@@ -200,59 +203,63 @@
                 listen.parse().map_err(|_| format!("ROUTER_LISTEN: {listen} is no address"))?;
         }
         if let Ok(admin) = std::env::var("ROUTER_ADMIN_ADDR") {
-            let wrong = |_| format!("ROUTER_ADMIN_ADDR: {admin} is no address");
-            config.admin = Some(admin.parse().map_err(wrong)?);
+            let to_error = |_| format!("ROUTER_ADMIN_ADDR: {admin} is no address");
+            config.admin = Some(admin.parse().map_err(to_error)?);
         }
         if let Ok(descriptor) = std::env::var("ROUTER_SOCKET_FD") {
-            let wrong = |_| format!("ROUTER_SOCKET_FD: {descriptor} is no descriptor");
-            config.inherited_fd = Some(descriptor.parse().map_err(wrong)?);
+            let to_error = |_| format!("ROUTER_SOCKET_FD: {descriptor} is not a file descriptor number");
+            config.inherited_fd = Some(descriptor.parse().map_err(to_error)?);
         }
         if let Ok(path) = std::env::var("SLATESHED_OPERATOR") {
-            let wrong = |e: String| format!("SLATESHED_OPERATOR: {path}: {e}");
-            let text = std::fs::read_to_string(&path).map_err(|e| wrong(e.to_string()))?;
-            config.operator(&text).map_err(wrong)?;
+            let to_error = |e: String| format!("SLATESHED_OPERATOR: {path}: {e}");
+            let text = std::fs::read_to_string(&path).map_err(|e| to_error(e.to_string()))?;
+            config.operator(&text).map_err(to_error)?;
         }
         Ok(config)
     }
 
-    /// Reads the operator's file, in TOML.
+    /// Reads the operator's file, which is in TOML.
     pub fn operator(&mut self, text: &str) -> Result<(), String> {
         let root: Table = text.parse().map_err(|e: toml::de::Error| e.message().to_owned())?;
-        only(&root, "", &["sip"])?;
+        reject_unknown_keys(&root, "", &["sip"])?;
         self.sip = match root.get("sip") {
             Some(Value::Table(sip)) => Some(sip_config(sip, &self.wire.classes)?),
-            Some(_) => return Err("sip is no table".into()),
+            Some(_) => return Err("sip is not a table".into()),
             None => None,
         };
         Ok(())
     }
 
-    /// Reads the configuration's JSON.
+    /// Reads the JSON configuration.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let root: JsonValue = read::parse_json(text, DEEPEST)?;
+        let root: JsonValue = read::parse_json(text, MAX_JSON_DEPTH)?;
         let seed = read::text(&root, "seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| "seed is no hex number of 64 bits")?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| "seed is not a hexadecimal number of at most 64 bits")?;
         let settings = read::lookup(&root, "settings").ok_or("settings is missing")?;
         let prefixed = |e: String| format!("settings.{e}");
         let names = |path: &str, field: &str| -> Result<Vec<String>, String> {
             let list = read::list(settings, path).map_err(prefixed)?;
             let name = |v: &JsonValue| match field {
-                "" => v.get::<String>().cloned().ok_or_else(|| format!("{path} holds no text")),
+                "" => v
+                    .get::<String>()
+                    .cloned()
+                    .ok_or_else(|| format!("{path} has an entry that is not a string")),
                 _ => read::text(v, field).map(str::to_owned).map_err(|e| format!("{path}: {e}")),
             };
             list.iter().map(name).collect::<Result<_, _>>().map_err(prefixed)
         };
-        let module = read::parse_settings(settings).map_err(prefixed)?;
+        let module_settings = read::parse_settings(settings).map_err(prefixed)?;
         let wire = WireConfig {
             classes: names("services", "name")?,
-            deadlines: module.classes.iter().map(|c| c.deadline).collect(),
+            deadlines: module_settings.classes.iter().map(|c| c.deadline).collect(),
             zones: names("zones", "")?,
             report: read::report_fields(settings).map_err(prefixed)?,
             may_probe: may_probe(settings)?,
         };
         let dial_timeout = match read::lookup(settings, "allowed.dial_timeout_ms") {
             Some(_) => read::millis(settings, "allowed.dial_timeout_ms").map_err(prefixed)?,
-            None => DIAL_TIMEOUT,
+            None => DEFAULT_DIAL_TIMEOUT,
         };
         let entries = read::list(&root, "known.entries")?;
         let known = entries.iter().enumerate().map(|(i, e)| {
@@ -260,20 +267,20 @@
         });
         Ok(Config {
             name: read::text(&root, "name")?.to_owned(),
-            listen: address(&root, "listen")?,
+            listen: lookup_address(&root, "listen")?,
             inherited_fd: None,
             admin: read::lookup(&root, "admin_addr")
-                .map(|_| address(&root, "admin_addr"))
+                .map(|_| lookup_address(&root, "admin_addr"))
                 .transpose()?,
             seed,
             limits: Limits {
                 sockets: read::count(&root, "limits.sockets")? as usize,
                 memory: read::count(&root, "limits.memory_mb")? as usize * 1024 * 1024,
             },
-            journal: address(&root, "journal")?,
+            journal: lookup_address(&root, "journal")?,
             position: read::number(&root, "known.pos")? as u64,
             known: known.collect::<Result<_, _>>()?,
-            settings: module,
+            settings: module_settings,
             wire,
             dial_timeout,
             sip: None,
@@ -281,110 +288,118 @@
     }
 }
 
-/// Refuses keys that mean nothing: most are misspelt.
-fn only(table: &Table, path: &str, keys: &[&str]) -> Result<(), String> {
+/// Rejects unknown keys, as most of them are misspelt.
+fn reject_unknown_keys(table: &Table, path: &str, keys: &[&str]) -> Result<(), String> {
     match table.keys().find(|k| !keys.contains(&k.as_str())) {
         Some(key) => Err(format!("{path}{key} is unknown")),
         None => Ok(()),
     }
 }
 
-fn word<'a>(table: &'a Table, path: &str, key: &str) -> Result<Option<&'a str>, String> {
+/// The string at a key, if the key is present.
+fn optional_string<'a>(table: &'a Table, path: &str, key: &str) -> Result<Option<&'a str>, String> {
     match table.get(key) {
         Some(Value::String(text)) => Ok(Some(text)),
-        Some(_) => Err(format!("{path}{key} is no text")),
+        Some(_) => Err(format!("{path}{key} is not a string")),
         None => Ok(None),
     }
 }
 
-fn needed<'a>(table: &'a Table, path: &str, key: &str) -> Result<&'a str, String> {
-    word(table, path, key)?.ok_or_else(|| format!("{path}{key} is missing"))
+/// The string at a key that has to be present.
+fn required_string<'a>(table: &'a Table, path: &str, key: &str) -> Result<&'a str, String> {
+    optional_string(table, path, key)?.ok_or_else(|| format!("{path}{key} is missing"))
 }
 
-fn whole(table: &Table, path: &str, key: &str, default: Option<u32>) -> Result<u32, String> {
+/// The integer at a key, or the default. Without a default, the key has to be present.
+fn integer(table: &Table, path: &str, key: &str, default: Option<u32>) -> Result<u32, String> {
     match table.get(key) {
         Some(Value::Integer(n)) => u32::try_from(*n).map_err(|_| format!("{path}{key} is out of range")),
-        Some(_) => Err(format!("{path}{key} is no whole number")),
+        Some(_) => Err(format!("{path}{key} is not an integer")),
         None => default.ok_or_else(|| format!("{path}{key} is missing")),
     }
 }
 
-fn socket(text: &str, path: &str, key: &str) -> Result<SocketAddr, String> {
+/// Parses the socket address that was read at a key.
+fn parse_address(text: &str, path: &str, key: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("{path}{key}: {text} is no address"))
 }
 
-fn tables<'a>(sip: &'a Table, key: &str) -> Result<Vec<(String, &'a Table)>, String> {
+/// The tables of an array, each with its key path for errors.
+fn table_array<'a>(sip: &'a Table, key: &str) -> Result<Vec<(String, &'a Table)>, String> {
     let Some(list) = sip.get(key) else {
         return Ok(Vec::new());
     };
-    let wrong = || format!("sip.{key} is no list of tables");
-    let list = list.as_array().ok_or_else(wrong)?.iter().enumerate();
-    list.map(|(i, v)| Ok((format!("sip.{key}[{i}]."), v.as_table().ok_or_else(wrong)?))).collect()
+    let to_error = || format!("sip.{key} is not an array of tables");
+    let list = list.as_array().ok_or_else(to_error)?.iter().enumerate();
+    list.map(|(i, v)| Ok((format!("sip.{key}[{i}]."), v.as_table().ok_or_else(to_error)?))).collect()
 }
 
+/// Reads the settings of the SIP front.
 fn sip_config(sip: &Table, classes: &[String]) -> Result<SipConfig, String> {
-    only(sip, "sip.", &["udp", "tcp", "t1_ms", "t2_ms", "t4_ms", "exchange", "number"])?;
-    let listen = |key| word(sip, "sip.", key)?.map(|a| socket(a, "sip.", key)).transpose();
+    reject_unknown_keys(sip, "sip.", &["udp", "tcp", "t1_ms", "t2_ms", "t4_ms", "exchange", "number"])?;
+    let listen =
+        |key| optional_string(sip, "sip.", key)?.map(|a| parse_address(a, "sip.", key)).transpose();
     let (udp, tcp) = (listen("udp")?, listen("tcp")?);
     if udp.is_none() && tcp.is_none() {
-        return Err("sip.udp and sip.tcp are missing: one is needed".into());
+        return Err("sip.udp and sip.tcp are missing: at least one is required".into());
     }
     // The defaults are those of RFC 3261, table 4.
-    let time = |key, default| match whole(sip, "sip.", key, Some(default))? {
+    let timer = |key, default| match integer(sip, "sip.", key, Some(default))? {
         0 => Err(format!("sip.{key} is out of range")),
         ms => Ok(Duration::from_millis(ms.into())),
     };
-    let times = Times { t1: time("t1_ms", 500)?, t2: time("t2_ms", 4000)?, t4: time("t4_ms", 5000)? };
+    let times = Times { t1: timer("t1_ms", 500)?, t2: timer("t2_ms", 4000)?, t4: timer("t4_ms", 5000)? };
     let mut exchanges = BTreeMap::new();
-    for (path, exchange) in tables(sip, "exchange")? {
-        only(exchange, &path, &["cell", "address", "transport"])?;
-        let protocol = match needed(exchange, &path, "transport")? {
+    for (path, exchange) in table_array(sip, "exchange")? {
+        reject_unknown_keys(exchange, &path, &["cell", "address", "transport"])?;
+        let protocol = match required_string(exchange, &path, "transport")? {
             "udp" if udp.is_some() => Protocol::Udp,
             "tcp" if tcp.is_some() => Protocol::Tcp,
-            other => return Err(format!("{path}transport: {other} is not among sip.udp and sip.tcp")),
+            other => return Err(format!("{path}transport: {other} is not set with sip.udp or sip.tcp")),
         };
-        let addr = socket(needed(exchange, &path, "address")?, &path, "address")?;
-        let cell = ExchangeNumber(whole(exchange, &path, "cell", None)?);
+        let addr = parse_address(required_string(exchange, &path, "address")?, &path, "address")?;
+        let cell = ExchangeNumber(integer(exchange, &path, "cell", None)?);
         if exchanges.insert(cell, Target { protocol, addr, conn: None }).is_some() {
-            return Err(format!("{path}cell: {} is there twice", cell.0));
+            return Err(format!("{path}cell: {} is listed twice", cell.0));
         }
     }
     let mut numbers = Vec::new();
-    for (path, number) in tables(sip, "number")? {
-        only(number, &path, &["prefix", "exchange", "class", "circuits"])?;
-        let class = needed(number, &path, "class")?.to_owned();
+    for (path, number) in table_array(sip, "number")? {
+        reject_unknown_keys(number, &path, &["prefix", "exchange", "class", "circuits"])?;
+        let class = required_string(number, &path, "class")?.to_owned();
         if !classes.contains(&class) {
-            return Err(format!("{path}class: {class} is not among settings.services"));
+            return Err(format!("{path}class: {class} is not a name in settings.services"));
         }
         numbers.push(SipNumber {
-            prefix: needed(number, &path, "prefix")?.to_owned(),
-            exchange: ExchangeNumber(whole(number, &path, "exchange", None)?),
+            prefix: required_string(number, &path, "prefix")?.to_owned(),
+            exchange: ExchangeNumber(integer(number, &path, "exchange", None)?),
             class,
-            circuits: whole(number, &path, "circuits", Some(1))?,
+            circuits: integer(number, &path, "circuits", Some(1))?,
         });
     }
     Ok(SipConfig { udp, tcp, times, exchanges, numbers })
 }
 
-fn address(root: &JsonValue, path: &str) -> Result<SocketAddr, String> {
+/// The socket address at a path.
+fn lookup_address(root: &JsonValue, path: &str) -> Result<SocketAddr, String> {
     let text = read::text(root, path)?;
     text.parse().map_err(|_| format!("{path}: {text} is no address"))
 }
 
-/// Whether exchanges may be asked; not where the settings don't say.
+/// Whether liveness probes may be sent to exchanges; false by default.
 fn may_probe(settings: &JsonValue) -> Result<bool, String> {
     match read::lookup(settings, "allowed.probing") {
         Some(JsonValue::Boolean(allowed)) => Ok(*allowed),
-        Some(_) => Err("settings.allowed.probing is no truth value".into()),
+        Some(_) => Err("settings.allowed.probing is not a boolean".into()),
         None => Ok(false),
     }
 }
 
-/// Reads one event of the journal service.
+/// Reads an event of the journal service.
 pub fn parse_list_event(event: &JsonValue, zones: &[String]) -> Result<ListEvent, String> {
     let position = read::number(event, "pos")? as u64;
     let full = read::lookup(event, "hosts.full").and_then(JsonValue::get::<bool>).copied();
-    let full = full.ok_or("hosts.full is no truth value")?;
+    let full = full.ok_or("hosts.full is not a boolean")?;
     let mut lines = Vec::new();
     for server in read::list(event, "hosts.servers")? {
         let phase = match read::text(server, "state")? {
@@ -407,7 +422,7 @@
             phase,
             started_at,
         };
-        lines.push((listed, address(server, "addr")?));
+        lines.push((listed, lookup_address(server, "addr")?));
     }
     Ok(ListEvent { position, full, lines })
 }
--- a/node/src/end.rs
+++ b/node/src/end.rs
@@ -1,4 +1,4 @@
-//! Every way in which a connection, or an attempt on it, can end, and what it means to the controller.
+//! The reasons for the end of a connection or of an attempt, and the outcome that each is for the controller.
 
 use slateshed::Outcome;
 use std::fmt;
@@ -9,21 +9,21 @@
 pub enum EndReason {
     /// The connection was refused.
     ConnectionRefused,
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     DialTimedOut,
     /// The connection was reset before anything was written to it.
     ResetBeforeUse,
-    /// No connection could be made from here: no descriptor, no route.
+    /// This side could not open a connection: no file descriptor was free, or there was no route.
     NoSocket,
-    /// The peer closed the connection in good order.
+    /// The peer closed the connection gracefully.
     PeerClosed,
     /// The connection was reset or broke.
     ConnectionBroken,
     /// The peer has been silent for too long.
     PeerSilent,
-    /// The peer did not complete a message that it had begun.
+    /// The peer began a message and did not complete it in time.
     MessageIncomplete,
-    /// The peer sent something that is not a valid message.
+    /// The peer sent data that is not a valid message.
     MalformedMessage,
     /// The peer sent a message above the size limit.
     MessageTooLong,
@@ -31,15 +31,15 @@
     SendBufferFull,
     /// This side closed the connection.
     ClosedLocally,
-    /// The attempt was not answered in time and was given up.
+    /// The attempt was not answered in time and was cancelled.
     TimedOut,
-    /// Set-ups sent later were answered, so that no answer is to be expected, and the attempt was given up.
+    /// Set-ups that were sent later were answered, so no answer is expected, and the attempt was cancelled.
     Overtaken,
     /// The caller cancelled the attempt.
     Cancelled,
-    /// The attempt never left this side.
+    /// The set-up was not sent.
     NotSent,
-    /// The call stood and has come to its end.
+    /// The call was established and has ended normally.
     Ended,
     /// No circuit (or agent) was free.
     NoCircuit,
@@ -47,9 +47,9 @@
     TandemRefused,
     /// The tandem refused the call because the destination's processor was full.
     FarProcessorFull,
-    /// The processor was full; with the wait that it told, where it told one.
+    /// The processor was full; with the waiting time that it stated, if any.
     ProcessorFull(Option<Duration>),
-    /// The own processor is down.
+    /// The processor of the local exchange is down.
     OwnProcessorDown,
     /// All lines of the number are busy.
     NumberBusy,
@@ -57,13 +57,13 @@
     Fault,
     /// The exchange reset the set-up or dropped the call.
     Dropped,
-    /// The call was established at a process that has given no sign of life for too long.
+    /// The call was established at a process that is considered dead.
     ExchangeDead,
 }
 
 impl EndReason {
-    /// What the controller is told. Only a connection that was refused or never came up proves that
-    /// nothing ran; any other end of a connection may have cut a set-up that did.
+    /// The outcome that is reported to the controller. Only a connection that was refused or never
+    /// established proves that the set-up did not run; with any other end of a connection it may have run.
     pub fn outcome(self) -> Outcome {
         match self {
             EndReason::ConnectionRefused
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Whether what is still held for the attempt may take a while to come free.
+    /// Whether the circuits of the attempt may be released only after a delay.
     pub fn needs_release_delay(self) -> bool {
         use Outcome::*;
         matches!(self.outcome(), TimedOut | Reset | Disconnected | Cancelled)
     }
 
-    /// Its name, in the log and in the figures.
+    /// The name that is used in the log and in the statistics.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::ConnectionRefused => "connection refused",
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The slateshed daemon: the decision module of the `slateshed` crate on real sockets.
+//! The slateshed daemon: runs the decision module of the `slateshed` crate on real sockets.
 //!
-//! `engine` owns the life of every call and knows no wire; `net` holds the sockets, a file for each kind
-//! of peer; `config` is the one place where settings come in.
+//! `engine` tracks every call, independent of any protocol; `net` owns the sockets, with one module for each
+//! kind of peer; `config` reads all settings.
 
 pub mod arena;
 pub mod config;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `slateshed`: the call controller.
+//! The binary `slateshed`: runs the call controller with the configuration from the environment.
 
 use slateshed_node::{config::Config, net};
 use std::process::ExitCode;
--- a/node/src/stats.rs
+++ b/node/src/stats.rs
@@ -5,30 +5,30 @@
 use std::fmt::Write;
 use tinyjson::JsonValue;
 
-/// How often SIGHUP had the configuration read again, and with what result.
+/// Number of configuration reloads on SIGHUP, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reloads {
-    /// It was taken over.
+    /// The configuration was applied.
     pub applied: u64,
-    /// It was wrong and changed nothing.
+    /// The configuration was invalid, and nothing was changed.
     pub rejected: u64,
 }
 
-/// Writes the statistics, with classes by name.
+/// Formats the statistics; `classes` are the names of the classes in the order of the settings.
 pub fn json(stats: &Stats, reloads: Reloads, classes: &[String]) -> String {
     let mut out = String::from("{\"results\":{");
-    for (i, (class, r)) in classes.iter().zip(&stats.results).enumerate() {
+    for (i, (class, counts)) in classes.iter().zip(&stats.results).enumerate() {
         let comma = if i == 0 { "" } else { "," };
-        // Only numbers can fail to be written as JSON, and writing to a string does not fail.
+        // Formatting JSON can fail for numbers only, and writing to a string never fails.
         let class = JsonValue::String(class.clone()).stringify().unwrap_or_default();
         let _ = write!(
             out,
             "{comma}{class}:{{\"succeeded\":{},\"declined\":{},\"aborted\":{}}}",
-            r.succeeded, r.declined, r.aborted
+            counts.succeeded, counts.declined, counts.aborted
         );
     }
     out.push('}');
-    let counts = [
+    let totals = [
         ("forwards", stats.forwards),
         ("outstanding", stats.outstanding as u64),
         ("discovered", stats.discovered as u64),
@@ -40,7 +40,7 @@
         ("checks", stats.checks),
         ("adverse_observations", stats.adverse_observations),
     ];
-    for (name, count) in counts {
+    for (name, count) in totals {
         let _ = write!(out, ",\"{name}\":{count}");
     }
     write_by_reason(&mut out, "releases", &stats.releases);
@@ -49,7 +49,7 @@
     out
 }
 
-/// Writes counts by their reasons, whose names need no quoting.
+/// Appends an object of counts by reason. The names of the reasons need no escaping.
 fn write_by_reason(out: &mut String, name: &str, counts: &BTreeMap<&'static str, u64>) {
     let _ = write!(out, ",\"{name}\":{{");
     for (i, (reason, count)) in counts.iter().enumerate() {
@@ -64,9 +64,10 @@
     use super::*;
     use crate::engine::ResultCounts;
 
-    /// Guards against figures under other names than those that are read, and against names that break the line.
+    /// Guards against statistics under names that operators' tools do not expect, and against class names
+    /// that break the line or its JSON.
     #[test]
-    fn figures_are_one_line_of_json() {
+    fn statistics_are_one_line_of_json() {
         let results = vec![ResultCounts { succeeded: 8, declined: 2, aborted: 1 }; 2];
         let stats = Stats {
             results,
--- a/node/src/timers.rs
+++ b/node/src/timers.rs
@@ -1,37 +1,39 @@
-//! The timer queue of the program.
+//! The timer queue of the daemon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timers ordered by their due time. Timers are never cancelled: the owner of a timer recognises by its
-/// token that it has become stale.
+/// Timers ordered by their due time. Timers are never cancelled: a timer whose token is no longer valid when
+/// it is due has no effect.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
-    due: BTreeMap<(Duration, u64), T>,
-    next: u64,
+    /// The timers by due time and by the order of scheduling.
+    timers: BTreeMap<(Duration, u64), T>,
+    next_number: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        TimerQueue { due: BTreeMap::new(), next: 0 }
+        TimerQueue { timers: BTreeMap::new(), next_number: 0 }
     }
 }
 
 impl<T> TimerQueue<T> {
-    /// Schedules a timer.
-    pub fn schedule(&mut self, at: Duration, what: T) {
-        self.due.insert((at, self.next), what);
-        self.next += 1;
+    /// Schedules a timer for the time `at`.
+    pub fn schedule(&mut self, at: Duration, timer: T) {
+        self.timers.insert((at, self.next_number), timer);
+        self.next_number += 1;
     }
 
     /// The due time of the next timer.
     pub fn next_due(&self) -> Option<Duration> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.timers.keys().next().map(|(at, _)| *at)
     }
 
-    /// Removes the next timer that is due at `now`: the earliest first, and equal ones in the order of scheduling.
+    /// Removes the next timer that is due at `now`: the earliest first, and equally early ones in the order
+    /// of scheduling.
     pub fn pop_due(&mut self, now: Duration) -> Option<T> {
-        let first = self.due.first_entry()?;
+        let first = self.timers.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
     }
 }
@@ -40,18 +42,19 @@
 mod tests {
     use super::*;
 
+    /// Guards against a timer that fires early or out of order.
     #[test]
-    fn deadlines_fall_due_in_order_and_never_early() {
+    fn timers_are_due_in_order_and_never_early() {
         let ms = Duration::from_millis;
-        let mut d = TimerQueue::default();
-        d.schedule(ms(30), 'c');
-        d.schedule(ms(10), 'a');
-        d.schedule(ms(10), 'b');
-        assert_eq!((d.next_due(), d.pop_due(ms(9))), (Some(ms(10)), None));
+        let mut queue = TimerQueue::default();
+        queue.schedule(ms(30), 'c');
+        queue.schedule(ms(10), 'a');
+        queue.schedule(ms(10), 'b');
+        assert_eq!((queue.next_due(), queue.pop_due(ms(9))), (Some(ms(10)), None));
         assert_eq!(
-            [d.pop_due(ms(20)), d.pop_due(ms(20)), d.pop_due(ms(20))],
+            [queue.pop_due(ms(20)), queue.pop_due(ms(20)), queue.pop_due(ms(20))],
             [Some('a'), Some('b'), None]
         );
-        assert_eq!(d.pop_due(ms(30)), Some('c'));
+        assert_eq!(queue.pop_due(ms(30)), Some('c'));
     }
 }
