--- a/node/src/arena.rs
+++ b/node/src/arena.rs
@@ -1,8 +1,9 @@
-//! A generational arena: tokens become stale when their entry is removed.
+//! A generational arena: a token becomes invalid when its entry is removed.
 
 use slab::Slab;
 
-/// Bits of a token that hold the generation; with 32 bits of slot, four are left for other uses.
+/// Number of bits of a token that hold the generation. The slot takes 32 bits, so 4 of the 64 bits are left
+/// for other uses.
 const GENERATION_BITS: u32 = 28;
 
 /// Identifies one entry of an [`Arena`]. The token of a removed entry stays invalid, even after its slot is
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -21,9 +21,9 @@
 /// An event of the journal service: an update of the exchange list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
-    /// The number of the event.
+    /// The position of the event in the journal.
     pub position: u64,
-    /// Whether it holds the full list.
+    /// Whether the event contains the full list.
     pub full: bool,
     /// The entries, each with the address of the exchange.
     pub lines: Vec<(NamedEntry, SocketAddr)>,
@@ -78,7 +78,7 @@
         BufferLimits { max_line, max_buffered: lines::MAX_MESSAGE }
     }
 
-    /// Maximum number of operator connections. Beyond it, a silent one is closed for each new one.
+    /// Maximum number of operator connections. When it is reached, a silent one is closed for each new one.
     pub fn operators(&self) -> usize {
         (self.sockets / 16).clamp(4, 32)
     }
@@ -355,7 +355,9 @@
         let protocol = match required_string(exchange, &path, "transport")? {
             "udp" if udp.is_some() => Protocol::Udp,
             "tcp" if tcp.is_some() => Protocol::Tcp,
-            other => return Err(format!("{path}transport: {other} is not set with sip.udp or sip.tcp")),
+            other => {
+                return Err(format!("{path}transport: {other} has no address in sip.udp or sip.tcp"))
+            }
         };
         let addr = parse_address(required_string(exchange, &path, "address")?, &path, "address")?;
         let cell = ExchangeNumber(integer(exchange, &path, "cell", None)?);
--- a/node/src/end.rs
+++ b/node/src/end.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether the circuits of the attempt may be released only after a delay.
+    /// Whether the circuits of the attempt may stay occupied for a while after its end.
     pub fn needs_release_delay(self) -> bool {
         use Outcome::*;
         matches!(self.outcome(), TimedOut | Reset | Disconnected | Cancelled)
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -29,11 +29,11 @@
 /// A set-up counts as overtaking only if it was sent at least this long after the pending one.
 const MIN_OVERTAKING_DELAY: Duration = Duration::from_millis(20);
 
-/// A call in the engine.
+/// Identifies a call in the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallToken(pub Token);
 
-/// An attempt in the engine.
+/// Identifies an attempt in the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptToken(pub Token);
 
@@ -190,6 +190,7 @@
 struct Attempt {
     call: CallToken,
     exchange: ExchangeId,
+    /// The number of the attempt within its call, from 0.
     number: u32,
     sent_at: Duration,
     is_established: bool,
@@ -229,7 +230,7 @@
     pending: VecDeque<Event>,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// During a graceful shutdown: every call gets its final answer before this time.
+    /// During a graceful shutdown: every call gets its final answer at this time at the latest.
     stop_by: Option<Duration>,
     results: Vec<ResultCounts>,
     forwards: u64,
@@ -358,7 +359,7 @@
         self.exchanges.get(&exchange).map(|e| e.number)
     }
 
-    /// Starts a graceful shutdown: every call without a final answer gets one before `by`.
+    /// Starts a graceful shutdown: every call without a final answer gets one at `by` at the latest.
     pub fn stop<D: From<EngineTimer>>(&mut self, by: Duration, timers: &mut TimerQueue<D>) {
         self.stop_by = Some(by);
         for (token, _) in self.calls.iter() {
@@ -669,8 +670,9 @@
         }
     }
 
-    /// Drops the calls that an exchange answered at `until` or before, as their process is gone. An update of
-    /// the list may arrive late, so calls that the restarted process has answered after its start are kept.
+    /// Drops the calls that an exchange answered at `answered_until` or before, as their process is gone. An
+    /// update of the list may arrive late, so calls that the restarted process has answered after its start
+    /// are kept.
     fn drop_calls<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -825,9 +827,9 @@
         Some(removed)
     }
 
-    /// Sends the set-up of the next attempt. Where the rules don't allow it (another attempt exists, the
-    /// release delay is running, the exchange is not in service, or no time is left), the attempt ends as not
-    /// sent.
+    /// Sends the set-up of the next attempt. If the rules don't allow it (another attempt exists, the release
+    /// delay is running, the exchange is not in service, or no time is left), the attempt ends with
+    /// [`EndReason::NotSent`].
     fn set_up<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -364,12 +364,12 @@
         let dead = dead.into_iter().map(|i| self.groups[i].first).collect();
         // A process that is only assumed to be alive is checked as well, so this considers the activity on
         // its own connections alone.
-        let oldest = live.iter().copied().min_by_key(|i| self.groups[*i].last_activity);
-        let check = oldest.filter(|i| now >= self.next_check(now, *i));
+        let longest_silent = live.iter().copied().min_by_key(|i| self.groups[*i].last_activity);
+        let check = longest_silent.filter(|i| now >= self.next_check(now, *i));
         if check.is_some() {
             self.check_requested_at = Some(now);
         }
-        let next = self.next_review(now, oldest, &live);
+        let next = self.next_review(now, longest_silent, &live);
         Review { dead, check: check.map(|i| self.groups[i].first), next }
     }
 
@@ -421,9 +421,9 @@
 
     /// When the next review is due: when a process may be considered dead, the next check or the end of the
     /// current one is due, and after twice the check timeout at the latest.
-    fn next_review(&self, now: Duration, oldest: Option<usize>, live: &[usize]) -> Duration {
+    fn next_review(&self, now: Duration, longest_silent: Option<usize>, live: &[usize]) -> Duration {
         let dead_at = live.iter().map(|i| self.last_activity(*i) + SILENCE_TIMEOUT);
-        let check = oldest.map(|i| self.next_check(now, i));
+        let check = longest_silent.map(|i| self.next_check(now, i));
         let check_ends_at = self.check_started_at.map(|since| since + CHECK_TIMEOUT);
         let due = dead_at.chain(check).chain(check_ends_at).filter(|at| *at > now).min();
         due.map_or(now + CHECK_TIMEOUT, |at| at.min(now + CHECK_TIMEOUT * 2))
@@ -471,48 +471,48 @@
     #[test]
     fn a_silent_process_is_checked_and_kept_while_connections_succeed() {
         let mut liveness = Liveness::default();
-        let one = liveness.connected(ms(0));
-        let processes_with_calls = BTreeSet::from([one]);
-        let due = Review { next: ms(500), ..Review::default() };
-        assert_eq!(liveness.review(ms(0), &processes_with_calls), due);
-        assert_eq!(liveness.review(ms(500), &processes_with_calls).check, Some(one));
+        let incarnation = liveness.connected(ms(0));
+        let processes_with_calls = BTreeSet::from([incarnation]);
+        let expected = Review { next: ms(500), ..Review::default() };
+        assert_eq!(liveness.review(ms(0), &processes_with_calls), expected);
+        assert_eq!(liveness.review(ms(500), &processes_with_calls).check, Some(incarnation));
         liveness.check_started(ms(500), true);
         assert_eq!(liveness.review(ms(550), &processes_with_calls).check, None, "one check at a time");
         let new = liveness.connected(ms(600));
-        assert_eq!(liveness.silent_for(ms(600), one), ms(0), "assumed to be the same process");
+        assert_eq!(liveness.silent_for(ms(600), incarnation), ms(0), "assumed to be the same process");
         assert_eq!(
             liveness.review(ms(1500), &processes_with_calls).next,
             ms(2500),
             "the exchange has not closed the old connection in response"
         );
-        assert_eq!(liveness.review(ms(2500), &processes_with_calls).check, Some(one));
+        assert_eq!(liveness.review(ms(2500), &processes_with_calls).check, Some(incarnation));
         assert_eq!(liveness.connected(ms(2700)), new);
         assert!(
-            !liveness.is_suspected(one)
+            !liveness.is_suspected(incarnation)
                 && liveness.review(ms(9000), &processes_with_calls).dead.is_empty()
         );
     }
 
     /// Guards against dropping calls long before the release is due, or after it is.
     #[test]
-    fn a_suspected_process_is_dead_after_the_silence_limit() {
+    fn a_suspected_process_is_dead_after_the_silence_timeout() {
         let mut liveness = Liveness::default();
-        let one = liveness.connected(ms(0));
-        liveness.record_activity(ms(1000), one);
+        let incarnation = liveness.connected(ms(0));
+        liveness.record_activity(ms(1000), incarnation);
         liveness.record_failure_sign(FailureSign::DialFailed);
-        assert_eq!(dead_at(&mut liveness, 3500, one), Some(8200));
+        assert_eq!(dead_at(&mut liveness, 3500, incarnation), Some(8200));
     }
 
     /// Guards against taking a hung process for alive because the operating system still accepts its
     /// connections: an exchange that always sends data first on a new connection, and no longer does, is not
     /// alive.
     #[test]
-    fn a_connection_is_no_activity_of_an_exchange_that_speaks_first() {
+    fn a_new_connection_is_no_activity_of_an_exchange_that_sends_data_first() {
         let mut liveness = Liveness::default();
         liveness.peer_spoke_first();
-        let one = liveness.connected(ms(0));
-        assert_eq!(liveness.connected(ms(2500)), one);
-        assert_eq!(dead_at(&mut liveness, 2500, one), Some(7200));
+        let incarnation = liveness.connected(ms(0));
+        assert_eq!(liveness.connected(ms(2500)), incarnation);
+        assert_eq!(dead_at(&mut liveness, 2500, incarnation), Some(7200));
     }
 
     /// Guards against counting the activity of a new process as activity of the previous one, whose calls are
--- a/node/src/timers.rs
+++ b/node/src/timers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timers ordered by their due time. Timers are never cancelled: a timer whose token is no longer valid when
-/// it is due has no effect.
+/// Timers ordered by their due time. Timers are never cancelled: the owner of a timer ignores it if its token
+/// is no longer valid when it is due.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     /// The timers by due time and by the order of scheduling.
