--- a/node/tests/transactions.rs
+++ b/node/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! The transactions by themselves, on a clock of the test: what is sent when, by the timers of RFC 3261.
+//! Tests of the SIP transactions without sockets and on a simulated clock: what the timers of RFC 3261 send, and when.
 
 use ezk_sip_types::Method;
 use slateshed_node::arena::Token;
@@ -7,72 +7,87 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Transactions that each side has room for.
-const MOST: usize = 3;
+/// Maximum number of transactions that a test's table holds.
+const MAX_TRANSACTIONS: usize = 3;
 
-struct Side {
+/// A table of transactions, its timers, and a clock that the test advances.
+struct TransactionHarness {
     transactions: Transactions,
     protocol: Protocol,
     now: Duration,
-    wakes: Vec<(Duration, Token, Timer)>,
-    /// What went out, and when, in milliseconds.
-    said: String,
+    pending_timers: Vec<(Duration, Token, Timer)>,
+    /// What was sent, and when in milliseconds: the method or status of each message, and `failed` for each transaction
+    /// that timed out.
+    trace: String,
 }
 
-impl Side {
+impl TransactionHarness {
     fn new(protocol: Protocol) -> Self {
         let ms = Duration::from_millis;
         let times = Times { t1: ms(500), t2: ms(4000), t4: ms(5000) };
-        let transactions = Transactions::new(times, MOST);
-        Side { transactions, protocol, now: Duration::ZERO, wakes: Vec::new(), said: String::new() }
+        let transactions = Transactions::new(times, MAX_TRANSACTIONS);
+        TransactionHarness {
+            transactions,
+            protocol,
+            now: Duration::ZERO,
+            pending_timers: Vec::new(),
+            trace: String::new(),
+        }
     }
 
     fn target(&self) -> Target {
         Target {
             protocol: self.protocol,
-            addr: "127.0.0.1:5060".parse().expect("an address"),
+            addr: "127.0.0.1:5060".parse().expect("a valid address"),
             conn: None,
         }
     }
 
-    fn note(&mut self, what: &str) {
-        self.said +=
-            &format!("{}{} {what}", if self.said.is_empty() { "" } else { ", " }, self.now.as_millis());
+    /// Appends an entry with the current time to the trace.
+    fn record(&mut self, text: &str) {
+        self.trace +=
+            &format!("{}{} {text}", if self.trace.is_empty() { "" } else { ", " }, self.now.as_millis());
     }
 
-    fn take(&mut self, out: Vec<Output>) {
-        for output in out {
+    /// Traces the messages and keeps the timers that the transactions ask for.
+    fn handle_output(&mut self, outputs: Vec<Output>) {
+        for output in outputs {
             match output {
                 Output::Send(_, _, bytes) => {
-                    let text = String::from_utf8(bytes.to_vec()).expect("text");
-                    let word =
-                        text.split(' ').find(|w| *w != "SIP/2.0").expect("a first line").to_owned();
-                    self.note(&word);
+                    let text = String::from_utf8(bytes.to_vec()).expect("the message is UTF-8");
+                    let method_or_status = text
+                        .split(' ')
+                        .find(|word| *word != "SIP/2.0")
+                        .expect("the message has a first line")
+                        .to_owned();
+                    self.record(&method_or_status);
                 }
-                Output::Wake(at, token, timer) => self.wakes.push((at, token, timer)),
+                Output::Wake(at, token, timer) => self.pending_timers.push((at, token, timer)),
             }
         }
     }
 
-    fn pass(&mut self, time: u64) {
-        let until = self.now + Duration::from_millis(time);
+    /// Advances the clock, and runs each timer at its due time.
+    fn advance(&mut self, duration_ms: u64) {
+        let end = self.now + Duration::from_millis(duration_ms);
         loop {
-            self.wakes.sort_by_key(|(at, ..)| *at);
-            if self.wakes.first().is_none_or(|(at, ..)| *at > until) {
+            self.pending_timers.sort_by_key(|(at, ..)| *at);
+            if self.pending_timers.first().is_none_or(|(at, ..)| *at > end) {
                 break;
             }
-            let (at, token, timer) = self.wakes.remove(0);
+            let (at, token, timer) = self.pending_timers.remove(0);
             self.now = at;
-            let mut out = Vec::new();
-            if self.transactions.due(at, token, timer, &mut out) {
-                self.note("failed");
+            let mut outputs = Vec::new();
+            if self.transactions.due(at, token, timer, &mut outputs) {
+                self.record("failed");
             }
-            self.take(out);
+            self.handle_output(outputs);
         }
-        self.now = until;
+        self.now = end;
     }
 
-    fn request(&mut self, method: &str) -> Token {
+    /// Sends a request in a new client transaction.
+    fn send_request(&mut self, method: &str) -> Token {
         let sent = Sent {
             uri: "sip:21@127.0.0.1".into(),
             via: "SIP/2.0/UDP 127.0.0.1;branch=z9hG4bKb".into(),
@@ -83,36 +98,42 @@
             routes: Vec::new(),
         };
         let bytes = sent.follow_up(method, &sent.to);
-        let (mut out, to) = (Vec::new(), (self.target(), Some(Rc::new(sent))));
-        let token = self.transactions.request(self.now, method, "z9hG4bKb", bytes, to, &mut out);
-        self.take(out);
+        let (mut outputs, to) = (Vec::new(), (self.target(), Some(Rc::new(sent))));
+        let token = self.transactions.request(self.now, method, "z9hG4bKb", bytes, to, &mut outputs);
+        self.handle_output(outputs);
         token
     }
 
-    fn response(&mut self, method: &str, status: u16) -> Taken {
-        let m = parse(&message::response(&parse(&wire(method)).headers, status, "b", &[], ""));
-        let mut out = Vec::new();
-        let taken = self.transactions.response(self.now, &m, &mut out);
-        self.take(out);
+    /// Receives a response to a request that [`Self::send_request`] sent.
+    fn receive_response(&mut self, method: &str, status: u16) -> Taken {
+        let parsed =
+            parse(&message::response(&parse(&request_bytes(method)).headers, status, "b", &[], ""));
+        let mut outputs = Vec::new();
+        let taken = self.transactions.response(self.now, &parsed, &mut outputs);
+        self.handle_output(outputs);
         taken
     }
 
-    fn take_request(&mut self, method: Method) -> Taken {
-        let (m, target, mut out) = (parse(&wire(&method.to_string())), self.target(), Vec::new());
-        let taken = self.transactions.take_request(self.now, &m, &method, target, &mut out);
-        self.take(out);
+    /// Receives a request of a peer.
+    fn receive_request(&mut self, method: Method) -> Taken {
+        let (parsed, target, mut outputs) =
+            (parse(&request_bytes(&method.to_string())), self.target(), Vec::new());
+        let taken = self.transactions.take_request(self.now, &parsed, &method, target, &mut outputs);
+        self.handle_output(outputs);
         taken
     }
 
-    fn respond(&mut self, token: Token, method: &str, status: u16) {
-        let bytes = message::response(&parse(&wire(method)).headers, status, "b", &[], "");
-        let mut out = Vec::new();
-        self.transactions.respond(self.now, token, status, bytes, &mut out);
-        self.take(out);
+    /// Sends a response in a server transaction.
+    fn send_response(&mut self, token: Token, method: &str, status: u16) {
+        let bytes = message::response(&parse(&request_bytes(method)).headers, status, "b", &[], "");
+        let mut outputs = Vec::new();
+        self.transactions.respond(self.now, token, status, bytes, &mut outputs);
+        self.handle_output(outputs);
     }
 }
 
-fn wire(method: &str) -> Vec<u8> {
+/// A request as it is on the wire.
+fn request_bytes(method: &str) -> Vec<u8> {
     let cseq = format!("1 {method}");
     let via = "SIP/2.0/UDP 127.0.0.1;branch=z9hG4bKb";
     let headers = [("Via", via), ("From", "<sip:a@127.0.0.1>;tag=a"), ("To", "<sip:21@127.0.0.1>")];
@@ -121,124 +142,139 @@
 }
 
 fn parse(bytes: &[u8]) -> Message {
-    message::parse(bytes).expect("well formed")
+    message::parse(bytes).expect("the message is well formed")
 }
 
 #[test]
-fn timers_a_and_b_send_an_invite_again_and_end_it() {
-    let mut udp = Side::new(Protocol::Udp);
-    udp.request("INVITE");
-    udp.pass(60_000);
-    insta::assert_snapshot!(udp.said, @"0 INVITE, 500 INVITE, 1500 INVITE, 3500 INVITE, 7500 INVITE, 15500 INVITE, 31500 INVITE, 32000 failed");
-    let mut tcp = Side::new(Protocol::Tcp);
-    tcp.request("INVITE");
-    tcp.pass(60_000);
-    insta::assert_snapshot!(tcp.said, @"0 INVITE, 32000 failed");
+fn timers_a_and_b_retransmit_an_invite_and_time_it_out() {
+    let mut udp = TransactionHarness::new(Protocol::Udp);
+    udp.send_request("INVITE");
+    udp.advance(60_000);
+    insta::assert_snapshot!(udp.trace, @"0 INVITE, 500 INVITE, 1500 INVITE, 3500 INVITE, 7500 INVITE, 15500 INVITE, 31500 INVITE, 32000 failed");
+    let mut tcp = TransactionHarness::new(Protocol::Tcp);
+    tcp.send_request("INVITE");
+    tcp.advance(60_000);
+    insta::assert_snapshot!(tcp.trace, @"0 INVITE, 32000 failed");
 }
 
 #[test]
-fn timers_e_and_f_send_another_request_again_and_end_it() {
-    let mut side = Side::new(Protocol::Udp);
-    side.request("BYE");
-    side.pass(60_000);
-    insta::assert_snapshot!(side.said, @"0 BYE, 500 BYE, 1500 BYE, 3500 BYE, 7500 BYE, 11500 BYE, 15500 BYE, 19500 BYE, 23500 BYE, 27500 BYE, 31500 BYE, 32000 failed");
+fn timers_e_and_f_retransmit_another_request_and_time_it_out() {
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    harness.send_request("BYE");
+    harness.advance(60_000);
+    insta::assert_snapshot!(harness.trace, @"0 BYE, 500 BYE, 1500 BYE, 3500 BYE, 7500 BYE, 11500 BYE, 15500 BYE, 19500 BYE, 23500 BYE, 27500 BYE, 31500 BYE, 32000 failed");
 }
 
 #[test]
-fn a_provisional_response_stops_timer_a_and_a_refusal_is_acknowledged_each_time_until_timer_d() {
-    let mut side = Side::new(Protocol::Udp);
-    let tx = side.request("INVITE");
-    side.pass(100);
-    assert_eq!(side.response("INVITE", 180), Taken::Response(tx));
-    side.pass(40_000);
-    assert_eq!(side.response("INVITE", 503), Taken::Response(tx));
-    side.pass(4000);
-    assert_eq!(side.response("INVITE", 503), Taken::Absorbed);
-    side.pass(28_000);
-    assert_eq!(side.response("INVITE", 503), Taken::Stray);
-    insta::assert_snapshot!(side.said, @"0 INVITE, 40100 ACK, 44100 ACK");
+fn provisional_response_stops_timer_a_and_each_refusal_gets_an_ack_until_timer_d() {
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    let transaction = harness.send_request("INVITE");
+    harness.advance(100);
+    assert_eq!(harness.receive_response("INVITE", 180), Taken::Response(transaction));
+    harness.advance(40_000);
+    assert_eq!(harness.receive_response("INVITE", 503), Taken::Response(transaction));
+    harness.advance(4000);
+    assert_eq!(harness.receive_response("INVITE", 503), Taken::Absorbed);
+    harness.advance(28_000);
+    assert_eq!(harness.receive_response("INVITE", 503), Taken::Stray);
+    insta::assert_snapshot!(harness.trace, @"0 INVITE, 40100 ACK, 44100 ACK");
 }
 
 #[test]
-fn timers_g_and_h_send_a_refusal_again_and_end_it_without_an_ack() {
-    let mut side = Side::new(Protocol::Udp);
-    let Taken::Request(tx) = side.take_request(Method::INVITE) else { panic!("not new") };
-    side.respond(tx, "INVITE", 503);
-    side.respond(tx, "INVITE", 200);
-    side.pass(60_000);
-    insta::assert_snapshot!(side.said, @"0 503, 500 503, 1500 503, 3500 503, 7500 503, 11500 503, 15500 503, 19500 503, 23500 503, 27500 503, 31500 503, 32000 failed");
+fn timers_g_and_h_retransmit_a_refusal_and_time_it_out_without_an_ack() {
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+        panic!("not a new transaction")
+    };
+    harness.send_response(transaction, "INVITE", 503);
+    harness.send_response(transaction, "INVITE", 200);
+    harness.advance(60_000);
+    insta::assert_snapshot!(harness.trace, @"0 503, 500 503, 1500 503, 3500 503, 7500 503, 11500 503, 15500 503, 19500 503, 23500 503, 27500 503, 31500 503, 32000 failed");
 }
 
 #[test]
-fn an_ack_stops_timer_g_and_timer_i_absorbs_what_is_late() {
-    let mut side = Side::new(Protocol::Udp);
-    let Taken::Request(tx) = side.take_request(Method::INVITE) else { panic!("not new") };
-    side.respond(tx, "INVITE", 100);
-    assert_eq!(side.take_request(Method::INVITE), Taken::Absorbed);
-    side.respond(tx, "INVITE", 503);
-    side.pass(600);
-    assert_eq!(side.take_request(Method::ACK), Taken::Absorbed);
-    side.pass(4900);
-    assert_eq!(side.take_request(Method::INVITE), Taken::Absorbed);
-    assert_eq!(side.take_request(Method::ACK), Taken::Absorbed);
-    side.pass(200);
-    assert!(matches!(side.take_request(Method::INVITE), Taken::Request(_)), "timer I is over");
-    insta::assert_snapshot!(side.said, @"0 100, 0 100, 0 503, 500 503");
+fn ack_stops_timer_g_and_late_messages_are_absorbed_until_timer_i() {
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+        panic!("not a new transaction")
+    };
+    harness.send_response(transaction, "INVITE", 100);
+    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
+    harness.send_response(transaction, "INVITE", 503);
+    harness.advance(600);
+    assert_eq!(harness.receive_request(Method::ACK), Taken::Absorbed);
+    harness.advance(4900);
+    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
+    assert_eq!(harness.receive_request(Method::ACK), Taken::Absorbed);
+    harness.advance(200);
+    assert!(
+        matches!(harness.receive_request(Method::INVITE), Taken::Request(_)),
+        "absorbed after timer I"
+    );
+    insta::assert_snapshot!(harness.trace, @"0 100, 0 100, 0 503, 500 503");
 }
 
 #[test]
 fn after_a_2xx_invites_are_absorbed_until_timer_l_and_acks_go_to_the_dialog() {
-    let mut side = Side::new(Protocol::Udp);
-    let Taken::Request(tx) = side.take_request(Method::INVITE) else { panic!("not new") };
-    side.respond(tx, "INVITE", 200);
-    side.pass(31_000);
-    assert_eq!(side.take_request(Method::INVITE), Taken::Absorbed);
-    assert_eq!(side.take_request(Method::ACK), Taken::Ack);
-    side.pass(2000);
-    assert!(matches!(side.take_request(Method::INVITE), Taken::Request(_)));
-    insta::assert_snapshot!(side.said, @"0 200");
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+        panic!("not a new transaction")
+    };
+    harness.send_response(transaction, "INVITE", 200);
+    harness.advance(31_000);
+    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
+    assert_eq!(harness.receive_request(Method::ACK), Taken::Ack);
+    harness.advance(2000);
+    assert!(matches!(harness.receive_request(Method::INVITE), Taken::Request(_)));
+    insta::assert_snapshot!(harness.trace, @"0 200");
 }
 
 #[test]
-fn timers_j_and_k_keep_the_others_for_what_is_late() {
-    let mut server = Side::new(Protocol::Udp);
-    let Taken::Request(tx) = server.take_request(Method::BYE) else { panic!("not new") };
-    server.respond(tx, "BYE", 200);
-    server.pass(31_000);
-    assert_eq!(server.take_request(Method::BYE), Taken::Absorbed);
-    server.pass(2000);
-    assert!(matches!(server.take_request(Method::BYE), Taken::Request(_)));
-    insta::assert_snapshot!(server.said, @"0 200, 31000 200");
-    let mut client = Side::new(Protocol::Udp);
-    let tx = client.request("BYE");
-    assert_eq!(client.response("BYE", 200), Taken::Response(tx));
-    client.pass(4900);
-    assert_eq!(client.response("BYE", 200), Taken::Absorbed);
-    client.pass(200);
-    assert_eq!(client.response("BYE", 200), Taken::Stray);
-    insta::assert_snapshot!(client.said, @"0 BYE");
+fn late_messages_of_other_transactions_are_absorbed_until_timers_j_and_k() {
+    let mut server = TransactionHarness::new(Protocol::Udp);
+    let Taken::Request(transaction) = server.receive_request(Method::BYE) else {
+        panic!("not a new transaction")
+    };
+    server.send_response(transaction, "BYE", 200);
+    server.advance(31_000);
+    assert_eq!(server.receive_request(Method::BYE), Taken::Absorbed);
+    server.advance(2000);
+    assert!(matches!(server.receive_request(Method::BYE), Taken::Request(_)));
+    insta::assert_snapshot!(server.trace, @"0 200, 31000 200");
+    let mut client = TransactionHarness::new(Protocol::Udp);
+    let transaction = client.send_request("BYE");
+    assert_eq!(client.receive_response("BYE", 200), Taken::Response(transaction));
+    client.advance(4900);
+    assert_eq!(client.receive_response("BYE", 200), Taken::Absorbed);
+    client.advance(200);
+    assert_eq!(client.receive_response("BYE", 200), Taken::Stray);
+    insta::assert_snapshot!(client.trace, @"0 BYE");
 }
 
-/// Guards against an INVITE given up that goes on being sent.
+/// Guards against retransmitting an INVITE whose attempt was cancelled before any response.
 #[test]
-fn a_hushed_invite_waits_without_being_sent() {
-    let mut side = Side::new(Protocol::Udp);
-    let tx = side.request("INVITE");
-    side.pass(600);
-    side.transactions.hush(tx);
-    side.pass(10_000);
-    assert_eq!(side.response("INVITE", 180), Taken::Response(tx));
-    insta::assert_snapshot!(side.said, @"0 INVITE, 500 INVITE");
+fn cancelled_invite_is_not_retransmitted_but_accepts_responses() {
+    let mut harness = TransactionHarness::new(Protocol::Udp);
+    let transaction = harness.send_request("INVITE");
+    harness.advance(600);
+    harness.transactions.hush(transaction);
+    harness.advance(10_000);
+    assert_eq!(harness.receive_response("INVITE", 180), Taken::Response(transaction));
+    insta::assert_snapshot!(harness.trace, @"0 INVITE, 500 INVITE");
 }
 
-/// Guards against a flood of requests that fills the memory: over UDP each would be kept for 64 times T1.
+/// Guards against a flood of requests that exhausts the memory: over UDP each is kept for 64 times T1.
 #[test]
-fn requests_beyond_the_bound_are_not_taken_and_those_taken_go_on() {
-    let mut udp = Side::new(Protocol::Udp);
+fn requests_beyond_the_limit_are_rejected_and_existing_transactions_continue() {
+    let mut udp = TransactionHarness::new(Protocol::Udp);
     for method in [Method::INVITE, Method::OPTIONS, Method::BYE] {
-        assert!(matches!(udp.take_request(method), Taken::Request(_)));
+        assert!(matches!(udp.receive_request(method), Taken::Request(_)));
     }
-    assert_eq!(udp.take_request(Method::REGISTER), Taken::Full);
-    assert_eq!(udp.take_request(Method::INVITE), Taken::Absorbed, "a retransmission");
-    assert!(matches!(udp.response("INVITE", 200), Taken::Stray));
+    assert_eq!(udp.receive_request(Method::REGISTER), Taken::Full);
+    assert_eq!(
+        udp.receive_request(Method::INVITE),
+        Taken::Absorbed,
+        "the retransmission is not absorbed"
+    );
+    assert!(matches!(udp.receive_response("INVITE", 200), Taken::Stray));
 }
