--- a/node/tests/clients.rs
+++ b/node/tests/clients.rs
@@ -1,23 +1,26 @@
-//! The clients' side of the platform's wire by itself, turn by turn.
+//! Tests of [`Clients`], the module for client connections, without the event loop: a test calls it once for each
+//! turn of the loop.
 
 mod common;
 
-use common::Parts;
+use common::ContextFixture;
 use slateshed_node::net::clients::Clients;
 use std::net::TcpStream;
 
-/// Guards against a flood of connections that is accepted for as long as it lasts, while nobody else has a turn.
+/// Guards against starvation: a flood of new connections that is accepted in one turn keeps every other connection
+/// waiting for as long as it lasts.
 #[test]
-fn a_flood_of_connections_leaves_the_others_their_turn() {
-    let (listener, addr) = common::listener();
-    listener.set_nonblocking(true).expect("a listener");
-    let mut parts = Parts::new();
-    let mut clients = Clients::new(mio::net::TcpListener::from_std(listener), parts.limits);
-    // More than a turn takes, and fewer than the system lets wait.
-    let flood: Vec<_> = (0..100).map(|_| TcpStream::connect(addr).expect("queued")).collect();
-    clients.accept(&mut parts.context());
-    assert!(clients.has_unread(), "the turn is over before the flood is");
-    clients.read_on(&mut parts.context());
-    assert!(!clients.has_unread(), "and goes on in the next");
+fn accept_stops_after_one_batch_during_a_connection_flood() {
+    let (listener, addr) = common::bind_listener();
+    listener.set_nonblocking(true).expect("the listener is set to non-blocking mode");
+    let mut fixture = ContextFixture::new();
+    let mut clients = Clients::new(mio::net::TcpListener::from_std(listener), fixture.limits);
+    // More than one turn accepts, and fewer than the listen backlog of the system holds.
+    let flood: Vec<_> =
+        (0..100).map(|_| TcpStream::connect(addr).expect("the connection is queued")).collect();
+    clients.accept(&mut fixture.context());
+    assert!(clients.has_unread(), "the first turn accepted all connections");
+    clients.read_on(&mut fixture.context());
+    assert!(!clients.has_unread(), "the next turn did not accept the rest");
     drop(flood);
 }
--- a/node/tests/engine.rs
+++ b/node/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine by itself: no wire, no clock. What the rules ask of any front holds whatever comes.
+//! Tests of the engine without sockets and on a simulated clock: the guarantees that hold for calls from any front,
+//! whatever events arrive.
 
 mod common;
 
@@ -9,273 +10,305 @@
 use slateshed_node::timers::TimerQueue;
 use std::time::Duration;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
-struct World {
+/// An engine, its timers, and a clock that the test advances.
+struct EngineHarness {
     engine: Engine,
     now: Duration,
     timers: TimerQueue<EngineTimer>,
 }
 
-impl World {
-    /// Three exchanges in service, the own one is 0.
+impl EngineHarness {
+    /// Lists three exchanges in service; the local exchange is number 0.
     fn new() -> Self {
-        let settings = slateshed_settings::parse_json(common::SETTINGS, 16).expect("JSON");
-        let settings = slateshed_settings::parse_settings(&settings).expect("settings");
-        let engine = Engine::new(settings, 7).expect("settings make sense");
-        let mut world = World { engine, now: ms(1_000_000), timers: TimerQueue::default() };
-        world.list(&[(0, Phase::InService), (1, Phase::InService), (2, Phase::InService)], true, ms(0));
-        world
+        let settings =
+            slateshed_settings::parse_json(common::SETTINGS, 16).expect("the settings are JSON");
+        let settings = slateshed_settings::parse_settings(&settings).expect("the settings are complete");
+        let engine = Engine::new(settings, 7).expect("the settings are valid");
+        let mut harness = EngineHarness { engine, now: ms(1_000_000), timers: TimerQueue::default() };
+        harness.update_list(
+            &[(0, Phase::InService), (1, Phase::InService), (2, Phase::InService)],
+            true,
+            ms(0),
+        );
+        harness
     }
 
-    fn list(&mut self, lines: &[(u32, Phase)], whole: bool, started_at: Duration) {
-        let line = |(n, phase): &(u32, Phase)| NamedEntry {
-            name: format!("s-{n}"),
-            number: ExchangeNumber(*n),
+    /// Applies an update of the list. `full`: it names all exchanges, not only the changed ones.
+    fn update_list(&mut self, entries: &[(u32, Phase)], full: bool, started_at: Duration) {
+        let to_entry = |(number, phase): &(u32, Phase)| NamedEntry {
+            name: format!("s-{number}"),
+            number: ExchangeNumber(*number),
             zone: 0,
             phase: *phase,
             started_at,
         };
-        let lines: Vec<_> = lines.iter().map(line).collect();
-        self.engine.update_list(self.now, whole, &lines, &mut self.timers);
+        let entries: Vec<_> = entries.iter().map(to_entry).collect();
+        self.engine.update_list(self.now, full, &entries, &mut self.timers);
     }
 
-    fn exchange(&self, n: u32) -> ExchangeId {
-        self.engine.exchange(&format!("s-{n}")).expect("listed")
+    fn exchange(&self, number: u32) -> ExchangeId {
+        self.engine.exchange(&format!("s-{number}")).expect("the exchange is listed")
     }
 
-    fn call(&mut self, patience: u64) -> CallToken {
-        let new = common::incoming(ms(patience));
-        self.engine.new_call(self.now, new, &mut self.timers)
+    /// Starts a call to exchange 1 whose caller waits this long for an answer.
+    fn new_call(&mut self, time_limit_ms: u64) -> CallToken {
+        let info = common::incoming_call(ms(time_limit_ms));
+        self.engine.new_call(self.now, info, &mut self.timers)
     }
 
-    /// Lets time pass, deadline by deadline.
-    fn pass(&mut self, time: u64) {
-        let until = self.now + ms(time);
-        while let Some(at) = self.timers.next_due().filter(|at| *at <= until) {
+    /// Advances the clock, and runs each timer at its due time.
+    fn advance(&mut self, duration_ms: u64) {
+        let end = self.now + ms(duration_ms);
+        while let Some(at) = self.timers.next_due().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            while let Some(wake) = self.timers.pop_due(self.now) {
-                self.engine.timer_due(self.now, wake, &mut self.timers);
+            while let Some(timer) = self.timers.pop_due(self.now) {
+                self.engine.timer_due(self.now, timer, &mut self.timers);
             }
         }
-        self.now = until;
+        self.now = end;
     }
 
-    fn commands(&mut self) -> Vec<Command> {
+    fn take_commands(&mut self) -> Vec<Command> {
         std::iter::from_fn(|| self.engine.next_command()).collect()
     }
 
-    fn set_up(&mut self) -> (AttemptToken, ExchangeId) {
-        match self.commands()[..] {
+    /// Takes the pending commands, which have to be one set-up and nothing else.
+    fn expect_only_set_up(&mut self) -> (AttemptToken, ExchangeId) {
+        match self.take_commands()[..] {
             [Command::SetUp { attempt, exchange, .. }] => (attempt, exchange),
-            ref other => panic!("no set-up alone: {other:?}"),
+            ref other => panic!("expected one set-up and no other command: {other:?}"),
         }
     }
 
-    fn answered(&mut self, attempt: AttemptToken) -> bool {
+    fn answer_attempt(&mut self, attempt: AttemptToken) -> bool {
         self.engine.answered(self.now, attempt, None, "d".to_owned(), &mut self.timers)
     }
 
-    fn ended(&mut self, attempt: AttemptToken, end: EndReason) {
+    fn end_attempt(&mut self, attempt: AttemptToken, end: EndReason) {
         self.engine.attempt_ended(self.now, attempt, end, &mut self.timers);
     }
 }
 
-/// Guards against a second final answer, from whatever comes late for an attempt that is over.
+/// Guards against a second final answer to the caller, caused by an event that arrives late, for an attempt that has
+/// already ended.
 #[test]
-fn one_final_answer_whatever_comes_late() {
-    let mut world = World::new();
-    let call = world.call(900);
-    let (attempt, _) = world.set_up();
-    world.pass(900);
-    let said = world.commands();
+fn call_gets_only_one_final_answer() {
+    let mut harness = EngineHarness::new();
+    let call = harness.new_call(900);
+    let (attempt, _) = harness.expect_only_set_up();
+    harness.advance(900);
+    let commands = harness.take_commands();
     assert!(
-        matches!(said[..], [Command::CancelAttempt(a), Command::Refuse(c, Some(_))] if (a, c) == (attempt, call))
+        matches!(commands[..], [Command::CancelAttempt(a), Command::Refuse(c, Some(_))] if (a, c) == (attempt, call))
     );
-    assert!(!world.answered(attempt));
-    world.ended(attempt, EndReason::Dropped);
-    world.engine.caller_ended(world.now, call, &mut world.timers);
-    world.pass(10_000);
-    assert_eq!(world.commands(), []);
-    assert_eq!((world.engine.unanswered_calls(), world.engine.established_calls()), (0, 0));
+    assert!(!harness.answer_attempt(attempt));
+    harness.end_attempt(attempt, EndReason::Dropped);
+    harness.engine.caller_ended(harness.now, call, &mut harness.timers);
+    harness.advance(10_000);
+    assert_eq!(harness.take_commands(), []);
+    assert_eq!((harness.engine.unanswered_calls(), harness.engine.established_calls()), (0, 0));
 }
 
+/// Guards against an answered call that is ended by the time limit of its set-up, is answered twice, or is released
+/// twice.
 #[test]
-fn a_call_stands_beyond_its_patience_and_is_released_once() {
-    let mut world = World::new();
-    let call = world.call(900);
-    let (attempt, _) = world.set_up();
-    assert!(world.answered(attempt));
-    assert!(!world.answered(attempt), "answered twice");
-    world.pass(60_000);
-    assert_eq!(world.commands(), [Command::Answer(call, "d".to_owned())]);
-    world.ended(attempt, EndReason::Ended);
-    world.ended(attempt, EndReason::Dropped);
-    assert_eq!(world.commands(), [Command::ReleaseCaller(call, ReleaseCause::Normal)]);
+fn answered_call_outlives_its_set_up_deadline_and_is_released_once() {
+    let mut harness = EngineHarness::new();
+    let call = harness.new_call(900);
+    let (attempt, _) = harness.expect_only_set_up();
+    assert!(harness.answer_attempt(attempt));
+    assert!(!harness.answer_attempt(attempt), "answered twice");
+    harness.advance(60_000);
+    assert_eq!(harness.take_commands(), [Command::Answer(call, "d".to_owned())]);
+    harness.end_attempt(attempt, EndReason::Ended);
+    harness.end_attempt(attempt, EndReason::Dropped);
+    assert_eq!(harness.take_commands(), [Command::ReleaseCaller(call, ReleaseCause::Normal)]);
 }
 
-/// Guards against two attempts out at once, and against a call sent again within 500 ms of a cut.
+/// Guards against two attempts in flight for one call, and against a retry within 500 ms of a dropped attempt.
 #[test]
-fn after_a_cut_the_call_goes_again_alone_and_not_within_the_release_wait() {
-    let mut world = World::new();
-    let one = world.exchange(1);
-    world.engine.update_circuits(world.now, one, (0, 9), &mut world.timers);
-    world.call(3000);
-    let (attempt, tandem) = world.set_up();
-    assert_ne!(tandem, one, "no circuit direct");
-    world.pass(100);
-    world.ended(attempt, EndReason::Dropped);
-    world.engine.update_circuits(world.now, one, (9, 9), &mut world.timers);
-    world.pass(499);
-    assert_eq!(world.commands(), []);
-    world.pass(60);
-    assert_eq!(world.set_up().1, one);
+fn dropped_call_is_retried_once_and_only_after_the_release_delay() {
+    let mut harness = EngineHarness::new();
+    let direct = harness.exchange(1);
+    harness.engine.update_circuits(harness.now, direct, (0, 9), &mut harness.timers);
+    harness.new_call(3000);
+    let (attempt, tandem) = harness.expect_only_set_up();
+    assert_ne!(tandem, direct, "sent on the direct route, where no circuit is free");
+    harness.advance(100);
+    harness.end_attempt(attempt, EndReason::Dropped);
+    harness.engine.update_circuits(harness.now, direct, (9, 9), &mut harness.timers);
+    harness.advance(499);
+    assert_eq!(harness.take_commands(), []);
+    harness.advance(60);
+    assert_eq!(harness.expect_only_set_up().1, direct);
 }
 
-/// Guards against new work for an exchange that drains, and against its calls ended before it is gone.
+/// Guards against set-ups sent to a draining exchange, and against calls there that are released before the exchange
+/// is gone.
 #[test]
-fn a_drain_ends_new_work_at_once_and_calls_only_with_the_exchange() {
-    let mut world = World::new();
-    let call = world.call(3000);
-    let (attempt, _) = world.set_up();
-    assert!(world.answered(attempt));
-    world.list(&[(1, Phase::Draining)], false, ms(0));
-    let other = world.call(3000);
-    world.pass(3000);
-    assert!(matches!(world.commands()[..], [Command::Answer(..), Command::Refuse(c, _)] if c == other));
-    world.list(&[(1, Phase::Gone)], false, ms(0));
+fn draining_exchange_gets_no_new_calls_and_keeps_its_calls_until_it_is_gone() {
+    let mut harness = EngineHarness::new();
+    let call = harness.new_call(3000);
+    let (attempt, _) = harness.expect_only_set_up();
+    assert!(harness.answer_attempt(attempt));
+    harness.update_list(&[(1, Phase::Draining)], false, ms(0));
+    let refused_call = harness.new_call(3000);
+    harness.advance(3000);
+    assert!(
+        matches!(harness.take_commands()[..], [Command::Answer(..), Command::Refuse(c, _)] if c == refused_call)
+    );
+    harness.update_list(&[(1, Phase::Gone)], false, ms(0));
     let released =
         [Command::ForgetAttempt(attempt), Command::ReleaseCaller(call, ReleaseCause::Dropped)];
-    assert_eq!(world.commands(), released);
+    assert_eq!(harness.take_commands(), released);
 }
 
-/// Guards against calls that stay standing at a process that has gone: refused, started anew, or silent.
+/// Guards against calls that stay established although the exchange process that held them is dead. The three failures:
+/// it refuses connections, the list reports a later start, or a dial fails and it stays silent.
 #[test]
-fn calls_at_a_lost_exchange_are_released() {
-    for way in 0..3 {
-        let mut world = World::new();
-        let call = world.call(3000);
-        let (attempt, one) = world.set_up();
-        assert!(world.answered(attempt));
-        world.commands();
-        match way {
-            0 => world.engine.connection_refused(world.now, one, &mut world.timers),
-            1 => world.list(&[(1, Phase::InService)], false, world.now),
+fn calls_at_a_dead_exchange_are_released() {
+    for failure in 0..3 {
+        let mut harness = EngineHarness::new();
+        let call = harness.new_call(3000);
+        let (attempt, exchange) = harness.expect_only_set_up();
+        assert!(harness.answer_attempt(attempt));
+        harness.take_commands();
+        match failure {
+            0 => harness.engine.connection_refused(harness.now, exchange, &mut harness.timers),
+            1 => harness.update_list(&[(1, Phase::InService)], false, harness.now),
             _ => {
-                world.engine.record_failure_sign(world.now, one, FailureSign::DialFailed);
-                world.pass(7000);
-                assert_eq!(world.commands(), [], "it may come back");
-                world.pass(500);
+                harness.engine.record_failure_sign(harness.now, exchange, FailureSign::DialFailed);
+                harness.advance(7000);
+                assert_eq!(
+                    harness.take_commands(),
+                    [],
+                    "released while the process may still come back"
+                );
+                harness.advance(500);
             }
         }
-        // A process that may live after all is told that the call is over.
-        let there = match way {
+        // A silent process may still be alive, so the controller also sends it a release.
+        let exchange_command = match failure {
             0 | 1 => Command::ForgetAttempt(attempt),
             _ => Command::ReleaseExchange(attempt, ReleaseCause::Dropped),
         };
         assert_eq!(
-            world.commands(),
-            [there, Command::ReleaseCaller(call, ReleaseCause::Dropped)],
-            "way {way}"
+            harness.take_commands(),
+            [exchange_command, Command::ReleaseCaller(call, ReleaseCause::Dropped)],
+            "failure {failure}"
         );
     }
 }
 
-/// Guards against calls cut at a process that has answered them since it started, where the list says so late.
+/// Guards against releasing calls that a restarted exchange process has answered itself, when the list reports the
+/// restart only after those answers.
 #[test]
-fn late_news_of_a_start_ends_only_the_calls_before_it() {
-    let mut world = World::new();
-    let before = world.call(3000);
-    let (old, _) = world.set_up();
-    assert!(world.answered(old));
-    world.pass(500);
-    let started = world.now;
-    world.pass(500);
-    world.commands();
-    world.call(3000);
-    let (new, _) = world.set_up();
-    assert!(world.answered(new));
-    world.pass(3000);
-    world.commands();
-    world.list(&[(1, Phase::InService)], false, started);
-    let released = [Command::ForgetAttempt(old), Command::ReleaseCaller(before, ReleaseCause::Dropped)];
-    assert_eq!(world.commands(), released);
-    assert!(world.engine.is_answered(new));
+fn late_report_of_a_restart_releases_only_calls_before_the_restart() {
+    let mut harness = EngineHarness::new();
+    let old_call = harness.new_call(3000);
+    let (old_attempt, _) = harness.expect_only_set_up();
+    assert!(harness.answer_attempt(old_attempt));
+    harness.advance(500);
+    let restarted_at = harness.now;
+    harness.advance(500);
+    harness.take_commands();
+    harness.new_call(3000);
+    let (new_attempt, _) = harness.expect_only_set_up();
+    assert!(harness.answer_attempt(new_attempt));
+    harness.advance(3000);
+    harness.take_commands();
+    harness.update_list(&[(1, Phase::InService)], false, restarted_at);
+    let released =
+        [Command::ForgetAttempt(old_attempt), Command::ReleaseCaller(old_call, ReleaseCause::Dropped)];
+    assert_eq!(harness.take_commands(), released);
+    assert!(harness.engine.is_answered(new_attempt));
 }
 
-/// Guards against answers that come after the process is killed at a planned stop.
+/// Guards against answers that are not sent before the process is killed at the end of a graceful shutdown.
 #[test]
-fn at_a_planned_stop_every_answer_is_out_by_its_time() {
-    let mut world = World::new();
-    let one = world.exchange(1);
-    let call = world.call(9000);
-    world.set_up();
-    world.engine.stop(world.now + ms(700), &mut world.timers);
-    world.pass(701);
+fn graceful_shutdown_answers_every_call_by_its_deadline() {
+    let mut harness = EngineHarness::new();
+    let exchange = harness.exchange(1);
+    let call = harness.new_call(9000);
+    harness.expect_only_set_up();
+    harness.engine.stop(harness.now + ms(700), &mut harness.timers);
+    harness.advance(701);
     assert!(
-        matches!(world.commands()[..], [Command::CancelAttempt(_), Command::Refuse(c, _)] if c == call)
+        matches!(harness.take_commands()[..], [Command::CancelAttempt(_), Command::Refuse(c, _)] if c == call)
     );
-    assert_eq!((world.engine.unanswered_calls(), world.engine.name(one)), (0, "s-1"));
+    assert_eq!((harness.engine.unanswered_calls(), harness.engine.name(exchange)), (0, "s-1"));
 }
 
-/// Guards against a call that waits out its time for an answer that was lost: set-ups sent later have theirs. It
-/// is given up and sent again after the wait for release; one that the others have not passed waits on.
+/// Guards against a call that waits for a lost answer until its time is used up, although set-ups that were sent later
+/// have been answered. After four of these the attempt is cancelled, and the call is retried after the release delay;
+/// with fewer the attempt goes on.
 #[test]
-fn a_set_up_that_later_ones_overtake_is_sent_again() {
-    let mut world = World::new();
-    let late_call = world.call(3000);
-    let (late, _) = world.set_up();
-    for n in 1..=4 {
-        world.pass(30);
-        let call = world.call(3000);
-        let (attempt, _) = world.set_up();
-        world.pass(20);
-        assert!(world.answered(attempt));
-        let said = world.commands();
-        assert_eq!(said[0], Command::Answer(call, "d".to_owned()));
-        assert_eq!(said[1..].contains(&Command::CancelAttempt(late)), n == 4, "{said:?}");
+fn set_up_overtaken_by_later_ones_is_cancelled_and_retried() {
+    let mut harness = EngineHarness::new();
+    let slow_call = harness.new_call(3000);
+    let (slow_attempt, _) = harness.expect_only_set_up();
+    for answered_count in 1..=4 {
+        harness.advance(30);
+        let call = harness.new_call(3000);
+        let (attempt, _) = harness.expect_only_set_up();
+        harness.advance(20);
+        assert!(harness.answer_attempt(attempt));
+        let commands = harness.take_commands();
+        assert_eq!(commands[0], Command::Answer(call, "d".to_owned()));
+        assert_eq!(
+            commands[1..].contains(&Command::CancelAttempt(slow_attempt)),
+            answered_count == 4,
+            "{commands:?}"
+        );
     }
-    world.pass(490);
-    assert_eq!(world.commands(), [], "within the wait for release");
-    world.pass(30);
-    let (again, _) = world.set_up();
-    assert!(!world.answered(late));
-    assert!(world.answered(again));
-    assert_eq!(world.commands(), [Command::Answer(late_call, "d".to_owned())]);
+    harness.advance(490);
+    assert_eq!(harness.take_commands(), [], "retried within the release delay");
+    harness.advance(30);
+    let (retried_attempt, _) = harness.expect_only_set_up();
+    assert!(!harness.answer_attempt(slow_attempt));
+    assert!(harness.answer_attempt(retried_attempt));
+    assert_eq!(harness.take_commands(), [Command::Answer(slow_call, "d".to_owned())]);
 }
 
-/// Guards against memory that grows with every exchange that is replaced for good.
+/// Guards against a memory leak: each exchange that is permanently replaced leaves an entry behind.
 #[test]
-fn exchanges_that_are_gone_are_forgotten_once_nothing_is_out_there() {
-    let mut world = World::new();
+fn gone_exchanges_are_removed_once_they_have_no_attempts() {
+    let mut harness = EngineHarness::new();
     let (attempt, _) = {
-        world.call(3000);
-        world.set_up()
+        harness.new_call(3000);
+        harness.expect_only_set_up()
     };
-    world.list(&[(1, Phase::Gone)], false, ms(0));
-    world.engine.remove_gone();
-    assert_eq!(world.engine.known_exchanges(), 3, "one is out there");
-    world.ended(attempt, EndReason::PeerClosed);
-    for n in 10..200 {
-        world.list(&[(n, Phase::InService)], false, ms(0));
-        assert!(world.engine.exchange(&format!("s-{n}")).is_some());
-        world.list(&[(n, Phase::Gone)], false, ms(0));
-        world.engine.remove_gone();
+    harness.update_list(&[(1, Phase::Gone)], false, ms(0));
+    harness.engine.remove_gone();
+    assert_eq!(harness.engine.known_exchanges(), 3, "an exchange with a pending attempt was removed");
+    harness.end_attempt(attempt, EndReason::PeerClosed);
+    for number in 10..200 {
+        harness.update_list(&[(number, Phase::InService)], false, ms(0));
+        assert!(harness.engine.exchange(&format!("s-{number}")).is_some());
+        harness.update_list(&[(number, Phase::Gone)], false, ms(0));
+        harness.engine.remove_gone();
     }
-    assert_eq!(world.engine.known_exchanges(), 2);
-    world.list(&[(0, Phase::InService)], true, ms(0));
-    world.engine.remove_gone();
-    assert_eq!(world.engine.known_exchanges(), 1, "a whole list names all there are");
+    assert_eq!(harness.engine.known_exchanges(), 2);
+    harness.update_list(&[(0, Phase::InService)], true, ms(0));
+    harness.engine.remove_gone();
+    assert_eq!(
+        harness.engine.known_exchanges(),
+        1,
+        "an exchange missing from a full list was not removed"
+    );
 }
 
-/// Guards against calls that are cut at once although they may stand, since dials failed, set-ups had no answer or
-/// connections were reset: only a refused connection with none open proves that the process is down.
+/// Guards against calls that are released at once, although they may still be established, because a dial failed, a
+/// set-up had no answer, a connection was reset, a report was missed or a check failed. Only a refused connection while
+/// none is open proves that the process is down.
 #[test]
-fn nothing_but_a_refused_connection_cuts_what_stands_at_once() {
+fn only_a_refused_connection_releases_established_calls_at_once() {
     let first = Incarnation::default();
-    let adverse = [
+    let signs = [
         FailureSign::DialFailed,
         FailureSign::Unanswered(9, first),
         FailureSign::Reset,
@@ -283,18 +316,19 @@
         FailureSign::MissedReports(first),
         FailureSign::CheckFailed,
     ];
-    for observation in adverse.map(Some).into_iter().chain([None]) {
-        let mut world = World::new();
-        let call = world.call(3000);
-        let (attempt, exchange) = world.set_up();
-        assert!(world.answered(attempt));
-        world.commands();
-        match observation {
-            Some(observation) => world.engine.record_failure_sign(world.now, exchange, observation),
-            None => world.engine.connection_refused(world.now, exchange, &mut world.timers),
+    for sign in signs.map(Some).into_iter().chain([None]) {
+        let mut harness = EngineHarness::new();
+        let call = harness.new_call(3000);
+        let (attempt, exchange) = harness.expect_only_set_up();
+        assert!(harness.answer_attempt(attempt));
+        harness.take_commands();
+        match sign {
+            Some(sign) => harness.engine.record_failure_sign(harness.now, exchange, sign),
+            None => harness.engine.connection_refused(harness.now, exchange, &mut harness.timers),
         }
-        world.pass(100);
-        let released = world.commands().contains(&Command::ReleaseCaller(call, ReleaseCause::Dropped));
-        assert_eq!(released, observation.is_none(), "{observation:?}");
+        harness.advance(100);
+        let released =
+            harness.take_commands().contains(&Command::ReleaseCaller(call, ReleaseCause::Dropped));
+        assert_eq!(released, sign.is_none(), "{sign:?}");
     }
 }
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -1,8 +1,9 @@
-//! The exchanges' side of the platform's wire by itself, with connections that this test lets come up or not.
+//! Tests of [`Exchanges`], the module for connections to exchanges, without the event loop. No test reports a
+//! connection as established, so set-ups stay queued for it.
 
 mod common;
 
-use common::Parts;
+use common::ContextFixture;
 use slateshed::*;
 use slateshed_node::engine::*;
 use slateshed_node::net::exchanges::Exchanges;
@@ -11,87 +12,94 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-struct World {
-    parts: Parts,
+/// The module with an engine, and a listener in place of exchange 1.
+struct ExchangesHarness {
+    context_fixture: ContextFixture,
     exchanges: Exchanges,
     listener: TcpListener,
     addr: SocketAddr,
 }
 
-impl World {
-    /// The own exchange, and one whose connection is begun and never seen to be up.
+impl ExchangesHarness {
+    /// Lists the own exchange, and exchange 1, to which a dial starts that is never reported as established.
     fn new() -> Self {
-        let (listener, addr) = common::listener();
-        let parts = Parts::new();
-        let exchanges = Exchanges::new(parts.limits);
-        let mut world = World { parts, exchanges, listener, addr };
-        world.list(Phase::InService);
-        world
+        let (listener, addr) = common::bind_listener();
+        let context_fixture = ContextFixture::new();
+        let exchanges = Exchanges::new(context_fixture.limits);
+        let mut harness = ExchangesHarness { context_fixture, exchanges, listener, addr };
+        harness.update_list(Phase::InService);
+        harness
     }
 
-    fn with<T>(&mut self, then: impl FnOnce(&mut Exchanges, &mut Context) -> T) -> T {
-        then(&mut self.exchanges, &mut self.parts.context())
+    /// Calls the module with a fresh context.
+    fn with_context<T>(&mut self, action: impl FnOnce(&mut Exchanges, &mut Context) -> T) -> T {
+        action(&mut self.exchanges, &mut self.context_fixture.context())
     }
 
-    fn list(&mut self, phase: Phase) {
-        let line = |n, phase| NamedEntry {
-            name: format!("s-{n}"),
-            number: ExchangeNumber(n),
+    /// Puts both exchanges on the list, with exchange 1 in the given phase.
+    fn update_list(&mut self, phase: Phase) {
+        let entry = |number, phase| NamedEntry {
+            name: format!("s-{number}"),
+            number: ExchangeNumber(number),
             zone: 0,
             phase,
             started_at: Duration::ZERO,
         };
-        let (addr, lines) = (self.addr, [line(0, Phase::InService), line(1, phase)]);
-        self.with(|exchanges, cx| {
-            cx.engine.update_list(cx.now, false, &lines, cx.timers);
-            let id = cx.engine.exchange("s-1").expect("listed");
+        let (addr, entries) = (self.addr, [entry(0, Phase::InService), entry(1, phase)]);
+        self.with_context(|exchanges, cx| {
+            cx.engine.update_list(cx.now, false, &entries, cx.timers);
+            let id = cx.engine.exchange("s-1").expect("the exchange is listed");
             exchanges.listed(id, addr, phase, cx);
         });
-        self.carry_out();
+        self.execute_commands();
     }
 
-    fn call(&mut self) -> CallToken {
-        let new = common::incoming(Duration::from_secs(3));
-        let call = self.with(|_, cx| cx.engine.new_call(cx.now, new, cx.timers));
-        self.carry_out();
+    /// Starts a call to exchange 1.
+    fn start_call(&mut self) -> CallToken {
+        let info = common::incoming_call(Duration::from_secs(3));
+        let call = self.with_context(|_, cx| cx.engine.new_call(cx.now, info, cx.timers));
+        self.execute_commands();
         call
     }
 
-    fn carry_out(&mut self) {
-        while let Some(command) = self.parts.engine.next_command() {
+    /// Executes the engine's pending commands, except those for the caller.
+    fn execute_commands(&mut self) {
+        while let Some(command) = self.context_fixture.engine.next_command() {
             if !command.is_for_caller() {
-                self.with(|exchanges, cx| exchanges.command(command, cx));
+                self.with_context(|exchanges, cx| exchanges.command(command, cx));
             }
         }
     }
 
-    /// What reached the exchange on the first connection before it was closed.
-    fn heard(&self) -> String {
-        let (mut stream, _) = self.listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(common::PATIENCE)).expect("a time-out");
-        let mut heard = String::new();
-        stream.read_to_string(&mut heard).expect("closed in good order");
-        heard
+    /// Everything that exchange 1 received on its first connection until that was closed.
+    fn received_before_close(&self) -> String {
+        let (mut stream, _) = self.listener.accept().expect("a connection is accepted");
+        stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("the read timeout is set");
+        let mut received = String::new();
+        stream.read_to_string(&mut received).expect("the connection is closed, not reset");
+        received
     }
 }
 
-/// Guards against a set-up that waits for its connection and goes out when the exchange drains or is gone.
+/// Guards against a set-up that is queued until its connection is established, and is sent although the exchange has
+/// begun to drain or is gone.
 #[test]
-fn a_set_up_that_has_not_left_does_not_go_to_an_exchange_that_drains() {
+fn unsent_set_up_is_not_sent_to_a_draining_or_gone_exchange() {
     for phase in [Phase::Draining, Phase::Gone] {
-        let mut world = World::new();
-        world.call();
-        world.list(phase);
-        assert_eq!(world.heard(), "", "{phase:?}");
+        let mut harness = ExchangesHarness::new();
+        harness.start_call();
+        harness.update_list(phase);
+        assert_eq!(harness.received_before_close(), "", "{phase:?}");
     }
 }
 
-/// Guards against a set-up that waits for its connection and goes out after its caller has given it up.
+/// Guards against a set-up that is queued until its connection is established, and is sent although its caller has
+/// abandoned it.
 #[test]
-fn a_set_up_that_has_not_left_goes_nowhere_once_it_is_given_up() {
-    let mut world = World::new();
-    let call = world.call();
-    world.with(|_, cx| cx.engine.caller_ended(cx.now, call, cx.timers));
-    world.carry_out();
-    assert_eq!(world.heard(), "");
+fn unsent_set_up_is_not_sent_after_its_caller_abandons_it() {
+    let mut harness = ExchangesHarness::new();
+    let call = harness.start_call();
+    harness.with_context(|_, cx| cx.engine.caller_ended(cx.now, call, cx.timers));
+    harness.execute_commands();
+    assert_eq!(harness.received_before_close(), "");
 }
--- a/node/tests/lines.rs
+++ b/node/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Stories on the platform's wire, against scripted clients, exchanges and journal service.
+//! End-to-end tests of the JSON-lines front, with scripted clients and exchanges and a stub journal service.
 
 mod common;
 use common::*;
@@ -7,122 +7,138 @@
 
 const TAG: &str = "9b1f03aa5c7e2d41";
 
-/// The program with one exchange besides its own.
-fn world() -> (Node, TcpListener, JournalPeer) {
-    let (exchange, addr) = listener();
-    let journal = JournalPeer::new();
-    let servers = [server("s-own", 0, "in_service", addr), server("s-one", 1, "in_service", addr)];
-    (Node::start(&config(journal.addr, &servers), None), exchange, journal)
+/// Starts the daemon with one exchange besides its own.
+fn start_daemon() -> (Daemon, TcpListener, StubJournal) {
+    let (exchange_listener, addr) = bind_listener();
+    let journal = StubJournal::new();
+    let servers =
+        [server_entry("s-own", 0, "in_service", addr), server_entry("s-one", 1, "in_service", addr)];
+    (Daemon::start(&config_json(journal.addr, &servers), None), exchange_listener, journal)
 }
 
+/// Guards against calls that stay established because the connection of their set-up has closed. The release is sent
+/// on another connection of the caller, also when it crosses that close and is lost with the connection.
 #[test]
-fn a_call_stands_and_its_release_comes_on_the_next_connection() {
-    let (mut node, exchange, _journal) = world();
-    let mut exchange = Lines::accept(&exchange);
-    let mut client = node.client();
-    client.start(TAG, 3000, 1);
-    insta::assert_snapshot!(without_times(&exchange.hear()), @r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"voice","key":"9b1f03aa5c7e2d41","left":"…"},"blob":"v=0\r\nm=audio \"9b1f03aa5c7e2d41\"\r\n"}"#);
-    exchange.say(&format!(r#"{{"verb":"PENDING","tag":"{TAG}","opts":{{}}}}"#));
-    exchange
-        .say(&format!(r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blob":"its own\u0007 words"}}"#));
-    insta::assert_snapshot!(client.hear(), @r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"its own\u0007 words"}"#);
-    // Guards against calls that stay standing since the connection of their set-up has closed; also where
-    // the release crosses that close and is lost with it.
+fn call_is_answered_and_its_release_is_sent_on_the_clients_next_connection() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 3000, 1);
+    insta::assert_snapshot!(mask_times(&exchange.receive()), @r#"{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"voice","key":"9b1f03aa5c7e2d41","left":"…"},"blob":"v=0\r\nm=audio \"9b1f03aa5c7e2d41\"\r\n"}"#);
+    exchange.send(&format!(r#"{{"verb":"PENDING","tag":"{TAG}","opts":{{}}}}"#));
+    exchange.send(&format!(
+        r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blob":"its own\u0007 words"}}"#
+    ));
+    insta::assert_snapshot!(client.receive(), @r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"its own\u0007 words"}"#);
+    // The release may cross this close.
     drop(client);
-    exchange.say(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
-    let mut next = node.client();
-    insta::assert_snapshot!(next.hear(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
+    exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
+    let mut next_client = daemon.connect_client();
+    insta::assert_snapshot!(next_client.receive(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
 }
 
-/// Guards against refusals without the time to come back, and against holding a call whose exchange is full
-/// for all of its caller's patience.
+/// Guards against refusals that don't say when to retry, and against a call to a full exchange that is kept waiting for
+/// as long as its caller waits.
 #[test]
-fn a_full_exchange_ends_in_one_refusal_that_says_when_to_come_back() {
-    let (mut node, exchange, _journal) = world();
-    let mut exchange = Lines::accept(&exchange);
-    let mut client = node.client();
-    let begun = Instant::now();
-    client.start(TAG, 9000, 1);
-    exchange.hear_start();
-    exchange.say(&format!(
+fn call_to_a_full_exchange_is_refused_once_with_a_retry_delay() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    let started_at = Instant::now();
+    client.send_start(TAG, 9000, 1);
+    exchange.receive_start();
+    exchange.send(&format!(
         r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{"note":"processor_full","load":"spare:3;total:9"}},"rc":34}}"#
     ));
-    insta::assert_snapshot!(without_times(&client.hear()), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{"wait":"…"},"rc":42}"#);
-    assert!(begun.elapsed() < Duration::from_secs(5), "held on");
-    assert!(client.silent(Duration::from_millis(200)), "a second answer");
+    insta::assert_snapshot!(mask_times(&client.receive()), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{"wait":"…"},"rc":42}"#);
+    assert!(started_at.elapsed() < Duration::from_secs(5), "the refusal came too late");
+    assert!(client.receives_nothing_within(Duration::from_millis(200)), "the call got a second answer");
 }
 
-/// Guards against set-ups that go on without their caller, against sending a call again within 500 ms, and
-/// against taking a connection for dead since nothing was heard in the moment before its set-up was given up.
+/// Guards against attempts that continue without their caller, against a retry within 500 ms of the cancellation, and
+/// against declaring a connection dead because nothing was received on it in the short time before the set-up was
+/// cancelled.
 #[test]
-fn a_caller_that_gives_up_ends_the_attempt() {
-    let (mut node, exchange, _journal) = world();
-    let mut exchange = Lines::accept(&exchange);
-    let mut client = node.client();
-    client.start(TAG, 3000, 1);
-    exchange.hear_start();
-    client.say(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
-    insta::assert_snapshot!(exchange.hear(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
-    client.start("00000000000000aa", 3000, 1);
-    assert_eq!(exchange.hear_start(), "00000000000000aa");
+fn attempt_is_cancelled_when_its_caller_gives_up_or_disconnects() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 3000, 1);
+    exchange.receive_start();
+    client.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
+    insta::assert_snapshot!(exchange.receive(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
+    client.send_start("00000000000000aa", 3000, 1);
+    assert_eq!(exchange.receive_start(), "00000000000000aa");
     drop(client);
-    insta::assert_snapshot!(exchange.hear(), @r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
-    assert!(exchange.silent(Duration::from_millis(600)), "sent again");
+    insta::assert_snapshot!(exchange.receive(), @r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
+    assert!(
+        exchange.receives_nothing_within(Duration::from_millis(600)),
+        "a cancelled call was retried"
+    );
 }
 
-/// Guards against calls without an answer when an exchange says nothing, or its connection dies.
+/// Guards against calls without an answer when an exchange sends nothing, or its connection closes.
 #[test]
-fn silence_and_a_dead_connection_are_answered_before_the_caller_gives_up() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    let begun = Instant::now();
-    client.start(TAG, 900, 1);
-    link.hear_start();
-    insta::assert_snapshot!(without_times(&client.hear()), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{"wait":"…"},"rc":42}"#);
-    assert!(begun.elapsed() >= Duration::from_millis(500), "not given the time");
-    insta::assert_snapshot!(link.hear(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
-    // A new connection replaces the silent one, and may be the one that dies next.
-    let mut link = Lines::accept(&exchange);
+fn call_is_refused_in_time_when_the_exchange_is_silent_or_disconnects() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    let started_at = Instant::now();
+    client.send_start(TAG, 900, 1);
+    exchange.receive_start();
+    insta::assert_snapshot!(mask_times(&client.receive()), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{"wait":"…"},"rc":42}"#);
+    assert!(
+        started_at.elapsed() >= Duration::from_millis(500),
+        "the exchange had too little time to answer"
+    );
+    insta::assert_snapshot!(exchange.receive(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
+    // The daemon replaces the silent connection. The new one is closed next.
+    let mut exchange = LinePeer::accept(&exchange_listener);
     std::thread::sleep(Duration::from_millis(2000));
-    client.start("00000000000000bb", 3000, 1);
-    link.hear_start();
-    drop(link);
-    let answer = without_times(&client.hear());
+    client.send_start("00000000000000bb", 3000, 1);
+    exchange.receive_start();
+    drop(exchange);
+    let answer = mask_times(&client.receive());
     insta::assert_snapshot!(answer, @r#"{"verb":"FINISH","tag":"00000000000000bb","opts":{"wait":"…"},"rc":42}"#);
 }
 
-/// Guards against bad input that costs more than its connection.
+/// Guards against malformed input that affects more than the connection that it arrives on.
 #[test]
-fn garbage_costs_its_connection_and_nothing_else() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut good = node.client();
+fn malformed_input_closes_only_its_own_connection() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut good_client = daemon.connect_client();
     let oversized = [b'x'; 20_000];
-    let deep = [b'['; 16_000];
-    for bad in [&b"what is this\n"[..], &oversized, &[&deep[..], b"\n"].concat(), b"\xff\xfe\n", b"{}\n"]
-    {
-        let mut client = node.client();
-        client.raw(bad);
-        assert_eq!(client.hear(), "", "closed");
+    let deeply_nested = [b'['; 16_000];
+    for input in [
+        &b"what is this\n"[..],
+        &oversized,
+        &[&deeply_nested[..], b"\n"].concat(),
+        b"\xff\xfe\n",
+        b"{}\n",
+    ] {
+        let mut client = daemon.connect_client();
+        client.send_bytes(input);
+        assert_eq!(client.receive(), "", "the connection is not closed");
     }
-    good.say(r#"{"verb":"ECHO","tag":"e","opts":{},"rc":0}"#);
-    insta::assert_snapshot!(good.hear(), @r#"{"verb":"ECHOED","tag":"e","opts":{},"rc":1}"#);
-    good.start(TAG, 3000, 1);
-    assert_eq!(link.hear_start(), TAG);
+    good_client.send(r#"{"verb":"ECHO","tag":"e","opts":{},"rc":0}"#);
+    insta::assert_snapshot!(good_client.receive(), @r#"{"verb":"ECHOED","tag":"e","opts":{},"rc":1}"#);
+    good_client.send_start(TAG, 3000, 1);
+    assert_eq!(exchange.receive_start(), TAG);
 }
 
-/// Guards against set-ups that an exchange can't read, on which it closes its connection, and against figures out
-/// of range that are mended on the way and served: each is answered by its id, or closed on if it has none.
+/// Guards against forwarding set-ups that an exchange can't parse, since it would close its connection, and against
+/// numbers out of range that are corrected and served. Each such set-up is refused by its id; without a valid id, its
+/// connection is closed.
 #[test]
-fn a_set_up_that_is_wrong_is_refused_and_goes_nowhere() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    let good = format!(
+fn invalid_set_up_is_refused_and_not_forwarded() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    let valid = format!(
         r#"{{"verb":"START","tag":"{TAG}","opts":{{"class":"voice","left":"3000","key":"{TAG}","extras":"dest:1;width:1;via:-1"}},"blob":"b"}}"#
     );
-    let swaps = [
+    let replacements = [
         ("voice", "none"),
         ("\"3000\"", "\"-3000\""),
         ("\"3000\"", "\"NaN\""),
@@ -135,395 +151,437 @@
         (r#""key":"9b"#, r#""key":"+9"#),
         (r#","blob":"b""#, ""),
     ];
-    for (right, wrong) in swaps {
-        let bad = good.replace(right, wrong);
-        assert_ne!(bad, good);
-        client.say(&bad);
-        let failed = format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":47}}"#);
-        assert_eq!(client.hear(), failed, "{bad:.300}");
+    for (original, replacement) in replacements {
+        let invalid = valid.replace(original, replacement);
+        assert_ne!(invalid, valid);
+        client.send(&invalid);
+        let refusal = format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":47}}"#);
+        assert_eq!(client.receive(), refusal, "{invalid:.300}");
     }
     for id in ["", "9b1f", "../../etc/passwd"] {
-        let mut client = node.client();
-        client.say(&good.replacen(TAG, id, 1));
-        assert_eq!(client.hear(), "", "no id to answer by");
+        let mut client = daemon.connect_client();
+        client.send(&valid.replacen(TAG, id, 1));
+        assert_eq!(client.receive(), "", "the connection is not closed");
     }
-    client.say(&good);
-    assert_eq!(link.hear_start(), TAG, "the first that goes on");
+    client.send(&valid);
+    assert_eq!(exchange.receive_start(), TAG, "an invalid set-up was forwarded");
 }
 
-/// Guards against a second set-up under the id of an open one, which would be served in its place or answered for
-/// it: whoever sends it loses its connection, and the call goes on.
+/// Guards against a second set-up with the id of an open call, which would be served in its place or get its answer.
+/// The connection that sends it is closed, and the call continues.
 #[test]
-fn the_id_of_an_open_call_costs_who_uses_it_again() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let (mut client, mut other) = (node.client(), node.client());
-    client.start(TAG, 3000, 1);
-    assert_eq!(link.hear_start(), TAG);
-    other.start(TAG, 2000, 1);
-    assert_eq!(other.hear(), "", "closed");
-    answer(&mut link, &mut client, TAG);
+fn second_set_up_with_the_id_of_an_open_call_closes_its_connection() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let (mut client, mut other) = (daemon.connect_client(), daemon.connect_client());
+    client.send_start(TAG, 3000, 1);
+    assert_eq!(exchange.receive_start(), TAG);
+    other.send_start(TAG, 2000, 1);
+    assert_eq!(other.receive(), "", "the connection is not closed");
+    answer_call(&mut exchange, &mut client, TAG);
 }
 
-/// Guards against clients that hold a connection and say nothing, or not enough, and against closing on a caller
-/// that was answered and stays.
+/// Guards against clients that occupy a connection without sending a complete request, and against closing the
+/// connection of a caller that was answered and keeps it open.
 #[test]
-fn who_says_nothing_whole_is_closed_on_and_who_was_answered_stays() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut caller = node.client();
-    stand(&mut link, &mut caller, TAG);
-    let (mut mute, mut half, mut unknown, mut back) =
-        (node.client(), node.client(), node.client(), node.client());
-    half.raw(br#"{"verb":"START","tag":"9b"#);
-    unknown.say(r#"{"verb":"FINISH","tag":"00000000000000ff","opts":{},"rc":16}"#);
-    back.start("00000000000000aa", 3000, 1);
-    back.say(r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
-    let begun = Instant::now();
-    for client in [&mut mute, &mut half, &mut unknown, &mut back] {
-        assert_eq!(client.hear(), "", "closed");
+fn clients_without_a_complete_request_are_closed_and_answered_clients_are_kept() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut caller = daemon.connect_client();
+    establish_call(&mut exchange, &mut caller, TAG);
+    let (mut silent_client, mut partial_client, mut unknown_call_client, mut abandoning_client) = (
+        daemon.connect_client(),
+        daemon.connect_client(),
+        daemon.connect_client(),
+        daemon.connect_client(),
+    );
+    partial_client.send_bytes(br#"{"verb":"START","tag":"9b"#);
+    unknown_call_client.send(r#"{"verb":"FINISH","tag":"00000000000000ff","opts":{},"rc":16}"#);
+    abandoning_client.send_start("00000000000000aa", 3000, 1);
+    abandoning_client.send(r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
+    let started_at = Instant::now();
+    for client in
+        [&mut silent_client, &mut partial_client, &mut unknown_call_client, &mut abandoning_client]
+    {
+        assert_eq!(client.receive(), "", "the connection is not closed");
     }
-    assert!(begun.elapsed() >= Duration::from_secs(1), "given time to speak");
-    // Begun after an answer, a message has as long.
-    caller.raw(br#"{"verb":"ECHO","#);
-    caller.raw(b"\"tag\":\"e\",\"opts\":{},\"rc\":0}\n");
-    assert!(caller.hear().contains("ECHOED"));
-    link.say(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
-    assert!(caller.hear().contains(r#""rc":16"#));
-    caller.raw(br#"{"verb":"ECHO","#);
-    assert_eq!(caller.hear(), "", "closed");
+    assert!(
+        started_at.elapsed() >= Duration::from_secs(1),
+        "the clients had too little time to send a request"
+    );
+    // A message that begins after an answer has the same time to become complete.
+    caller.send_bytes(br#"{"verb":"ECHO","#);
+    caller.send_bytes(b"\"tag\":\"e\",\"opts\":{},\"rc\":0}\n");
+    assert!(caller.receive().contains("ECHOED"));
+    exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
+    assert!(caller.receive().contains(r#""rc":16"#));
+    caller.send_bytes(br#"{"verb":"ECHO","#);
+    assert_eq!(caller.receive(), "", "the connection is not closed");
 }
 
-/// Guards against a crowd of silent connections that costs a caller the connection on which its call's end is to
-/// be told.
+/// Guards against many silent connections that make the daemon close a caller's connection, which is needed for the
+/// release of its call.
 #[test]
-fn in_a_crowd_a_caller_whose_call_stands_keeps_its_connection() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut caller = node.client();
-    stand(&mut link, &mut caller, TAG);
-    // More than the 63 connections that this configuration leaves for clients.
-    let mut crowd: Vec<_> = (0..120).map(|_| node.client()).collect();
-    assert_eq!(crowd[0].hear(), "", "the one silent for longest made way");
-    link.say(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
-    assert!(caller.hear().contains(r#""rc":16"#));
+fn client_with_an_established_call_keeps_its_connection_at_the_client_limit() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut caller = daemon.connect_client();
+    establish_call(&mut exchange, &mut caller, TAG);
+    // More than 63 clients: from that number on, this configuration closes idle ones.
+    let mut silent_clients: Vec<_> = (0..120).map(|_| daemon.connect_client()).collect();
+    assert_eq!(
+        silent_clients[0].receive(),
+        "",
+        "the client that has been idle for longest is not closed"
+    );
+    exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
+    assert!(caller.receive().contains(r#""rc":16"#));
 }
 
-/// Guards against a crowd of connections whose calls are over that keeps out those who are about to ask: the one with
-/// half a request loses nothing to them.
+/// Guards against many connections that already have their answers and keep out clients that are about to send a
+/// request. A connection with a partial request is kept, and the answered ones are closed.
 #[test]
-fn in_a_crowd_connections_whose_calls_are_over_make_way_first() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut slow = node.client();
-    slow.raw(br#"{"verb":"START","#);
-    // More than the 63 connections that this configuration leaves for clients; each has had its answer.
-    let mut crowd = Vec::new();
+fn answered_idle_connections_are_closed_first_at_the_client_limit() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut partial_client = daemon.connect_client();
+    partial_client.send_bytes(br#"{"verb":"START","#);
+    // More than 63 clients: from that number on, this configuration closes idle ones. Each has had its answer.
+    let mut answered_clients = Vec::new();
     for _ in 0..80 {
-        crowd.push(node.client());
-        assert!(crowd.last_mut().is_some_and(Lines::test));
+        answered_clients.push(daemon.connect_client());
+        assert!(answered_clients.last_mut().is_some_and(LinePeer::is_ready));
     }
-    assert_eq!(crowd[0].hear(), "", "made way");
-    let mut late = node.client();
-    stand(&mut link, &mut late, TAG);
-    let rest = r#""tag":"00000000000000aa","opts":{"class":"voice","left":"3000","key":"00000000000000aa","extras":"dest:1;width:1;via:-1"},"blob":"b"}"#;
-    slow.say(rest);
-    assert_eq!(link.hear_start(), "00000000000000aa");
+    assert_eq!(
+        answered_clients[0].receive(),
+        "",
+        "the answered client that has been idle for longest is not closed"
+    );
+    let mut new_client = daemon.connect_client();
+    establish_call(&mut exchange, &mut new_client, TAG);
+    let rest_of_line = r#""tag":"00000000000000aa","opts":{"class":"voice","left":"3000","key":"00000000000000aa","extras":"dest:1;width:1;via:-1"},"blob":"b"}"#;
+    partial_client.send(rest_of_line);
+    assert_eq!(exchange.receive_start(), "00000000000000aa");
 }
 
-/// Guards against the end of a call that is told to a stranger, where its caller's connection has closed: it goes to
-/// one that has confirmed such an end before, however new the others are.
+/// Guards against a release that is sent to an unrelated client after its caller's connection has closed. It goes to a
+/// client that has confirmed a release before, even if others have been active more recently.
 #[test]
-fn the_end_of_a_call_goes_to_who_has_confirmed_one() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let (mut usual, mut own, mut stranger) = (node.client(), node.client(), node.client());
-    stand(&mut link, &mut usual, TAG);
-    link.say(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
-    assert!(usual.hear().contains(TAG));
-    usual.say(&format!(r#"{{"verb":"FINISHED","tag":"{TAG}","opts":{{}}}}"#));
-    stand(&mut link, &mut own, "00000000000000aa");
-    drop(own);
-    stand(&mut link, &mut stranger, "00000000000000bb");
-    assert!(stranger.test(), "the last that was heard");
-    link.say(r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
-    assert!(usual.hear().contains("00000000000000aa"));
+fn release_goes_to_a_client_that_has_confirmed_one_before() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let (mut confirming_client, mut disconnected_client, mut other_client) =
+        (daemon.connect_client(), daemon.connect_client(), daemon.connect_client());
+    establish_call(&mut exchange, &mut confirming_client, TAG);
+    exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
+    assert!(confirming_client.receive().contains(TAG));
+    confirming_client.send(&format!(r#"{{"verb":"FINISHED","tag":"{TAG}","opts":{{}}}}"#));
+    establish_call(&mut exchange, &mut disconnected_client, "00000000000000aa");
+    drop(disconnected_client);
+    establish_call(&mut exchange, &mut other_client, "00000000000000bb");
+    assert!(other_client.is_ready(), "the daemon is not ready");
+    exchange.send(r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
+    assert!(confirming_client.receive().contains("00000000000000aa"));
 }
 
-/// Guards against the rest of a long burst being forgotten once its connection's turn is over.
+/// Guards against losing the rest of a long burst: the daemon reads a limited amount from a connection in one turn of
+/// its event loop.
 #[test]
-fn a_burst_longer_than_a_turn_is_read_to_its_end() {
-    let (mut node, _exchange, _journal) = world();
-    let mut client = node.client();
-    let test =
+fn burst_longer_than_one_read_turn_is_read_completely() {
+    let (mut daemon, _exchange, _journal) = start_daemon();
+    let mut client = daemon.connect_client();
+    let echo =
         format!("{{\"verb\":\"ECHO\",\"tag\":\"e\",\"opts\":{{}},\"rc\":0{}}}\n", " ".repeat(200));
-    client.raw(test.repeat(800).as_bytes());
-    for n in 0..800 {
-        assert!(client.hear().contains("ECHOED"), "{n}");
+    client.send_bytes(echo.repeat(800).as_bytes());
+    for index in 0..800 {
+        assert!(client.receive().contains("ECHOED"), "answer {index}");
     }
 }
 
-/// The program with four connections to one exchange besides its own.
-fn wide_world() -> (Node, Vec<Lines>, JournalPeer, TcpListener) {
-    let (exchange, addr) = listener();
-    let journal = JournalPeer::new();
-    let servers = [server("s-own", 0, "in_service", addr), server("s-one", 1, "in_service", addr)];
-    let node = Node::start(&wide(&config(journal.addr, &servers)), None);
-    let mut links: Vec<_> = (0..4).map(|_| Lines::accept(&exchange)).collect();
-    links.iter_mut().for_each(|link| link.say(LOAD));
-    (node, links, journal, exchange)
+/// Starts the daemon with four connections to one exchange besides its own, which reports its load on each.
+fn start_daemon_with_four_connections() -> (Daemon, Vec<LinePeer>, StubJournal, TcpListener) {
+    let (exchange_listener, addr) = bind_listener();
+    let journal = StubJournal::new();
+    let servers =
+        [server_entry("s-own", 0, "in_service", addr), server_entry("s-one", 1, "in_service", addr)];
+    let daemon = Daemon::start(&with_four_connections(&config_json(journal.addr, &servers)), None);
+    let mut connections: Vec<_> = (0..4).map(|_| LinePeer::accept(&exchange_listener)).collect();
+    connections.iter_mut().for_each(|connection| connection.send(LOAD_REPORT));
+    (daemon, connections, journal, exchange_listener)
 }
 
-const LOAD: &str = r#"{"verb":"LOAD","tag":"","opts":{"load":"spare:9;total:9"}}"#;
+/// The exchange's unsolicited report that its trunk group has nine of nine circuits free.
+const LOAD_REPORT: &str = r#"{"verb":"LOAD","tag":"","opts":{"load":"spare:9;total:9"}}"#;
 
-/// The connection that a set-up has come on, and the set-up's tag.
-fn heard_on(links: &mut [Lines]) -> (usize, String) {
-    let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
-        for (i, link) in links.iter_mut().enumerate() {
-            // Empty: the connection was renewed, as the exchange was silent while a call stood there.
-            if let Some(line) = link.within(Duration::from_millis(20)).filter(|l| !l.is_empty()) {
-                assert!(line.contains(r#""verb":"START""#), "{line}");
-                return (i, line.split(r#""tag":""#).nth(1).expect("a tag")[..16].to_owned());
+/// Waits for a set-up on any of the connections. Returns the index of its connection, and its tag.
+fn receive_start_on_any(connections: &mut [LinePeer]) -> (usize, String) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < WAIT_TIMEOUT {
+        for (index, connection) in connections.iter_mut().enumerate() {
+            // An empty line is the end of the stream: the daemon has replaced the connection, because the exchange was
+            // silent while a call was established there.
+            if let Some(line) =
+                connection.receive_within(Duration::from_millis(20)).filter(|line| !line.is_empty())
+            {
+                assert!(line.contains(r#""verb":"START""#), "not a START: {line}");
+                return (
+                    index,
+                    line.split(r#""tag":""#).nth(1).expect("the line has a tag")[..16].to_owned(),
+                );
             }
         }
     }
-    panic!("no set-up")
+    panic!("no set-up was received")
 }
 
-/// Guards against a spoilt answer that is passed on, that costs the set-ups on other connections, or whose call
-/// is given up though it may be repeated; each way of spoiling one ends its connection at once.
+/// Guards against a malformed answer that is forwarded, that affects set-ups on other connections, or whose call is
+/// refused although it may be retried. Each kind of malformed answer closes its connection at once.
 #[test]
-fn a_spoilt_answer_costs_its_connection_and_its_call_is_sent_again() {
-    let half = format!(r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blo"#);
-    let cut_short = format!("{{\"verb\":\"STARTED\",\"tag\":\"{TAG}\",\"opts\":{{}}}}\n");
-    for spoilt in [&b"\x00\xff noise\n"[..], &[b'x'; 20_000], half.as_bytes(), cut_short.as_bytes()] {
-        let (mut node, mut links, _journal, _exchange) = wide_world();
-        let mut client = node.client();
-        client.start(TAG, 3000, 1);
-        let (bad, tag) = heard_on(&mut links);
+fn malformed_answer_closes_its_connection_and_the_call_is_retried() {
+    let partial = format!(r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blo"#);
+    let without_blob = format!("{{\"verb\":\"STARTED\",\"tag\":\"{TAG}\",\"opts\":{{}}}}\n");
+    for malformed in
+        [&b"\x00\xff noise\n"[..], &[b'x'; 20_000], partial.as_bytes(), without_blob.as_bytes()]
+    {
+        let (mut daemon, mut connections, _journal, _exchange) = start_daemon_with_four_connections();
+        let mut client = daemon.connect_client();
+        client.send_start(TAG, 3000, 1);
+        let (failed, tag) = receive_start_on_any(&mut connections);
         assert_eq!(tag, TAG);
-        client.start("00000000000000aa", 3000, 1);
-        let (good, tag) = heard_on(&mut links);
-        assert_ne!(good, bad, "a connection of its own");
-        let begun = Instant::now();
-        links[bad].raw(spoilt);
-        assert_eq!(links[bad].hear(), "", "closed");
-        answer(&mut links[good], &mut client, &tag);
-        links.remove(bad);
-        let (again, tag) = heard_on(&mut links);
+        client.send_start("00000000000000aa", 3000, 1);
+        let (intact, tag) = receive_start_on_any(&mut connections);
+        assert_ne!(intact, failed, "both set-ups are on the same connection");
+        let started_at = Instant::now();
+        connections[failed].send_bytes(malformed);
+        assert_eq!(connections[failed].receive(), "", "the connection is not closed");
+        answer_call(&mut connections[intact], &mut client, &tag);
+        connections.remove(failed);
+        let (retried_on, tag) = receive_start_on_any(&mut connections);
         assert_eq!(tag, TAG);
-        assert!(begun.elapsed() >= Duration::from_millis(500), "within the wait for release");
-        answer(&mut links[again], &mut client, TAG);
+        assert!(started_at.elapsed() >= Duration::from_millis(500), "retried within the release delay");
+        answer_call(&mut connections[retried_on], &mut client, TAG);
     }
 }
 
-/// Guards against dialling an exchange over and over that drains and takes no connection any more: what stands
-/// there needs one, and that is up.
+/// Guards against repeated dials to a draining exchange that accepts no more connections. Its established calls need
+/// one connection, and one is open.
 #[test]
-fn an_exchange_that_drains_is_not_dialled_while_a_connection_to_it_is_up() {
-    let (mut node, mut links, journal, exchange) = wide_world();
-    let addr = exchange.local_addr().expect("an address");
-    let mut stream = journal.accept();
-    stream.say(&event(2, false, &[server("s-one", 1, "terminating", addr)]));
-    node.logged("list: event 2");
-    drop(links.pop());
-    node.logged("exchange-ended");
-    exchange.set_nonblocking(true).expect("a listener");
+fn draining_exchange_is_not_dialled_while_a_connection_to_it_is_open() {
+    let (mut daemon, mut connections, journal, exchange_listener) = start_daemon_with_four_connections();
+    let addr = exchange_listener.local_addr().expect("the socket has an address");
+    let mut journal_stream = journal.accept();
+    journal_stream.send(&journal_event(2, false, &[server_entry("s-one", 1, "terminating", addr)]));
+    daemon.wait_for_log("list: event 2");
+    drop(connections.pop());
+    daemon.wait_for_log("exchange-ended");
+    exchange_listener.set_nonblocking(true).expect("the listener's mode is set");
     std::thread::sleep(Duration::from_millis(300));
-    assert!(exchange.accept().is_err(), "dialled");
-    // Once none is up, one is dialled for the releases to come.
-    drop(links);
-    exchange.set_nonblocking(false).expect("a listener");
-    exchange.accept().expect("a connection");
+    assert!(exchange_listener.accept().is_err(), "the draining exchange was dialled");
+    // Once no connection is open, the daemon dials one for the expected releases.
+    drop(connections);
+    exchange_listener.set_nonblocking(false).expect("the listener's mode is set");
+    exchange_listener.accept().expect("a connection is accepted");
 }
 
-/// Guards against a group's state that is put back by an answer on its way since before the last change: the
-/// next call would be sent with no circuit free.
+/// Guards against an answer that overwrites the state of a trunk group with an older one: the answer may have been sent
+/// before the group last changed, and the next call would be sent although no circuit is free.
 #[test]
-fn the_state_of_a_group_is_what_came_unasked() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    client.start(TAG, 3000, 1);
-    link.hear_start();
-    link.say(&LOAD.replace("spare:9", "spare:0"));
-    link.say(&format!(
+fn unsolicited_load_report_overrides_the_load_in_an_answer() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 3000, 1);
+    exchange.receive_start();
+    exchange.send(&LOAD_REPORT.replace("spare:9", "spare:0"));
+    exchange.send(&format!(
         r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{"note":"user_busy","load":"spare:9;total:9"}},"rc":17}}"#
     ));
-    assert!(client.hear().contains(TAG));
-    client.start("00000000000000aa", 900, 1);
-    assert!(client.hear().contains("00000000000000aa"), "refused");
-    link.say(LOAD);
-    client.start("00000000000000bb", 3000, 1);
-    assert_eq!(link.hear_start(), "00000000000000bb", "the first to be sent again");
+    assert!(client.receive().contains(TAG));
+    client.send_start("00000000000000aa", 900, 1);
+    assert!(client.receive().contains("00000000000000aa"), "the call is not refused");
+    exchange.send(LOAD_REPORT);
+    client.send_start("00000000000000bb", 3000, 1);
+    assert_eq!(
+        exchange.receive_start(),
+        "00000000000000bb",
+        "a call was sent while no circuit was free"
+    );
 }
 
-/// Guards against set-ups that wait for their time-out on a connection that has gone silent while it is open,
-/// though the exchange speaks on the others.
+/// Guards against set-ups that wait for their timeout on a connection that is open but silent, although the exchange
+/// sends reports on the others.
 #[test]
-fn a_connection_that_misses_what_the_others_bring_is_given_up() {
-    let (mut node, mut links, _journal, _exchange) = wide_world();
-    let mut client = node.client();
-    client.start(TAG, 3000, 1);
-    let (silent, _) = heard_on(&mut links);
-    let begun = Instant::now();
-    let mut silent = links.remove(silent);
-    while begun.elapsed() < Duration::from_millis(400) {
-        links.iter_mut().for_each(|link| link.say(LOAD));
+fn connection_that_misses_reports_sent_on_the_others_is_closed() {
+    let (mut daemon, mut connections, _journal, _exchange) = start_daemon_with_four_connections();
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 3000, 1);
+    let (silent_connection, _) = receive_start_on_any(&mut connections);
+    let started_at = Instant::now();
+    let mut silent_connection = connections.remove(silent_connection);
+    while started_at.elapsed() < Duration::from_millis(400) {
+        connections.iter_mut().for_each(|connection| connection.send(LOAD_REPORT));
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(silent.hear(), "", "closed");
-    let (again, _) = heard_on(&mut links);
-    answer(&mut links[again], &mut client, TAG);
+    assert_eq!(silent_connection.receive(), "", "the connection is not closed");
+    let (retried_on, _) = receive_start_on_any(&mut connections);
+    answer_call(&mut connections[retried_on], &mut client, TAG);
 }
 
-/// Guards against running out of descriptors: idle clients make way, and the program goes on.
+/// Guards against a daemon that stops accepting when it runs out of descriptors: it closes idle clients and continues.
 #[test]
-fn without_descriptors_idle_clients_make_way() {
-    let (exchange, addr) = listener();
-    let journal = JournalPeer::new();
-    let servers = [server("s-own", 0, "in_service", addr), server("s-one", 1, "in_service", addr)];
-    let mut node = Node::start_limited(&config(journal.addr, &servers), 24);
-    let mut link = Lines::accept(&exchange);
-    let mut busy = node.client();
-    busy.start(TAG, 9000, 1);
-    link.hear_start();
-    let idle: Vec<_> = (0..40).map(|_| node.client()).collect();
-    node.logged("accept-failed");
-    let mut fresh = node.client();
-    fresh.say(r#"{"verb":"ECHO","tag":"e","opts":{},"rc":0}"#);
-    assert!(fresh.hear().contains("ECHOED"));
-    link.say(&format!(r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blob":"b"}}"#));
-    assert!(busy.hear().contains("STARTED"), "a connection with a set-up open is kept");
-    drop(idle);
-    assert!(node.runs());
+fn idle_clients_are_closed_when_descriptors_run_out() {
+    let (exchange_listener, addr) = bind_listener();
+    let journal = StubJournal::new();
+    let servers =
+        [server_entry("s-own", 0, "in_service", addr), server_entry("s-one", 1, "in_service", addr)];
+    let mut daemon = Daemon::start_with_descriptor_limit(&config_json(journal.addr, &servers), 24);
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut busy_client = daemon.connect_client();
+    busy_client.send_start(TAG, 9000, 1);
+    exchange.receive_start();
+    let idle_clients: Vec<_> = (0..40).map(|_| daemon.connect_client()).collect();
+    daemon.wait_for_log("accept-failed");
+    let mut new_client = daemon.connect_client();
+    new_client.send(r#"{"verb":"ECHO","tag":"e","opts":{},"rc":0}"#);
+    assert!(new_client.receive().contains("ECHOED"));
+    exchange.send(&format!(r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blob":"b"}}"#));
+    assert!(busy_client.receive().contains("STARTED"), "the connection with an open set-up is closed");
+    drop(idle_clients);
+    assert!(daemon.is_running());
 }
 
-/// Guards against a list that is stale: a stream that broke, an event missed, a drain not kept.
+/// Guards against a stale list: a stream that is not resumed after a break, an event that is missed, or a drain that is
+/// ignored.
 #[test]
-fn the_journal_is_followed_across_breaks_and_drains_are_kept() {
-    let (mut node, exchange, journal) = world();
-    let addr = exchange.local_addr().expect("an address");
-    let mut link = Lines::accept(&exchange);
-    let mut stream = journal.accept();
-    assert_eq!(stream.hear(), "tail 1");
-    stream.say(r#"{"pos":1}"#);
-    drop(stream);
-    let mut stream = journal.accept();
-    assert_eq!(stream.hear(), "tail 1");
-    stream.say(&event(2, false, &[server("s-one", 1, "terminating", addr)]));
-    node.logged("list: event 2");
-    let mut client = node.client();
-    client.start(TAG, 2000, 1);
-    assert!(client.hear().contains(r#""rc":42"#));
-    assert!(link.silent(Duration::from_millis(100)), "sent to an exchange that drains");
-    drop(stream);
-    assert_eq!(journal.accept().hear(), "tail 2");
+fn journal_stream_is_resumed_after_a_break_and_drains_are_applied() {
+    let (mut daemon, exchange_listener, journal) = start_daemon();
+    let addr = exchange_listener.local_addr().expect("the socket has an address");
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut journal_stream = journal.accept();
+    assert_eq!(journal_stream.receive(), "tail 1");
+    journal_stream.send(r#"{"pos":1}"#);
+    drop(journal_stream);
+    let mut journal_stream = journal.accept();
+    assert_eq!(journal_stream.receive(), "tail 1");
+    journal_stream.send(&journal_event(2, false, &[server_entry("s-one", 1, "terminating", addr)]));
+    daemon.wait_for_log("list: event 2");
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 2000, 1);
+    assert!(client.receive().contains(r#""rc":42"#));
+    assert!(
+        exchange.receives_nothing_within(Duration::from_millis(100)),
+        "a set-up was sent to a draining exchange"
+    );
+    drop(journal_stream);
+    assert_eq!(journal.accept().receive(), "tail 2");
 }
 
-/// Guards against SIGHUP ending the program, against numbers that begin anew at another journal service, calls
-/// that are lost with the old one, and a faulty file that replaces one that works.
+/// Guards against a SIGHUP that ends the daemon, against positions that start again at another journal service, calls
+/// that are lost with the old one, and an invalid file that replaces a valid configuration.
 #[test]
-fn sighup_switches_the_journal_and_keeps_numbers_and_calls() {
-    let (exchange, addr) = listener();
-    let (journal, next) = (JournalPeer::new(), JournalPeer::new());
-    let servers = [server("s-own", 0, "in_service", addr), server("s-one", 1, "in_service", addr)];
-    let mut node = Node::start(&config(journal.addr, &servers), None);
-    let mut stream = journal.accept();
-    assert_eq!(stream.hear(), "tail 1");
-    stream.say(&event(2, false, &[server("s-two", 2, "in_service", addr)]));
-    node.logged("list: event 2");
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    client.start(TAG, 9000, 1);
-    link.hear_start();
-    node.reload("{");
-    node.logged("reload-failed");
-    node.reload(&config(next.addr, &servers));
-    let mut moved = next.accept();
-    assert_eq!(moved.hear(), "tail 2");
-    assert_eq!(stream.hear(), "", "the old stream is closed");
-    moved.say(&event(3, false, &[server("s-one", 1, "terminating", addr)]));
-    node.logged("list: event 3");
-    answer(&mut link, &mut client, TAG);
-    // A stream that breaks is opened again there too.
-    drop(moved);
-    assert_eq!(next.accept().hear(), "tail 3");
+fn sighup_switches_the_journal_service_and_keeps_position_and_calls() {
+    let (exchange_listener, addr) = bind_listener();
+    let (journal, next_journal) = (StubJournal::new(), StubJournal::new());
+    let servers =
+        [server_entry("s-own", 0, "in_service", addr), server_entry("s-one", 1, "in_service", addr)];
+    let mut daemon = Daemon::start(&config_json(journal.addr, &servers), None);
+    let mut journal_stream = journal.accept();
+    assert_eq!(journal_stream.receive(), "tail 1");
+    journal_stream.send(&journal_event(2, false, &[server_entry("s-two", 2, "in_service", addr)]));
+    daemon.wait_for_log("list: event 2");
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 9000, 1);
+    exchange.receive_start();
+    daemon.reload_config("{");
+    daemon.wait_for_log("reload-failed");
+    daemon.reload_config(&config_json(next_journal.addr, &servers));
+    let mut next_journal_stream = next_journal.accept();
+    assert_eq!(next_journal_stream.receive(), "tail 2");
+    assert_eq!(journal_stream.receive(), "", "the old stream is not closed");
+    next_journal_stream.send(&journal_event(3, false, &[server_entry("s-one", 1, "terminating", addr)]));
+    daemon.wait_for_log("list: event 3");
+    answer_call(&mut exchange, &mut client, TAG);
+    // The daemon also reconnects to the new journal service after a break.
+    drop(next_journal_stream);
+    assert_eq!(next_journal.accept().receive(), "tail 3");
 }
 
-/// Guards against a planned restart that loses what was taken.
+/// Guards against a planned restart that loses calls which the daemon has accepted.
 #[test]
-fn sigterm_settles_what_is_owed_and_ends_with_0() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    client.start(TAG, 3000, 1);
-    link.hear_start();
-    node.terminate();
-    node.logged("stopping");
-    let mut late = node.client();
-    late.start("00000000000000dd", 3000, 1);
-    assert_eq!(link.hear_start(), "00000000000000dd");
-    for (client, tag) in [(&mut client, TAG), (&mut late, "00000000000000dd")] {
-        link.say(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"b"}}"#));
-        assert!(client.hear().contains("STARTED"));
+fn sigterm_completes_open_calls_and_exits_with_0() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    client.send_start(TAG, 3000, 1);
+    exchange.receive_start();
+    daemon.send_sigterm();
+    daemon.wait_for_log("stopping");
+    let mut late_client = daemon.connect_client();
+    late_client.send_start("00000000000000dd", 3000, 1);
+    assert_eq!(exchange.receive_start(), "00000000000000dd");
+    for (client, tag) in [(&mut client, TAG), (&mut late_client, "00000000000000dd")] {
+        exchange.send(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"b"}}"#));
+        assert!(client.receive().contains("STARTED"));
     }
-    // A call's end is passed on for as long as there is time, and nothing is waited for after the last.
+    // The daemon forwards releases until its time for the shutdown is used up, and exits at once after the last one.
     std::thread::sleep(Duration::from_millis(1200));
-    for (client, tag) in [(&mut client, TAG), (&mut late, "00000000000000dd")] {
-        assert!(node.runs(), "a call stands");
-        link.say(&format!(r#"{{"verb":"FINISH","tag":"{tag}","opts":{{}},"rc":16}}"#));
-        assert!(client.hear().contains(r#""rc":16"#));
+    for (client, tag) in [(&mut client, TAG), (&mut late_client, "00000000000000dd")] {
+        assert!(daemon.is_running(), "the daemon exited while a call was established");
+        exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{tag}","opts":{{}},"rc":16}}"#));
+        assert!(client.receive().contains(r#""rc":16"#));
     }
-    let begun = Instant::now();
-    assert!(node.ended_well());
-    assert!(begun.elapsed() < Duration::from_secs(1), "waited on");
+    let started_at = Instant::now();
+    assert!(daemon.exits_successfully());
+    assert!(
+        started_at.elapsed() < Duration::from_secs(1),
+        "the daemon did not exit after the last release"
+    );
 }
 
-/// Guards against a process that is killed while calls stand, since it waits for their end.
+/// Guards against a process that waits for the end of established calls until it is killed.
 #[test]
-fn after_sigterm_a_call_that_goes_on_is_let_go() {
-    let (mut node, exchange, _journal) = world();
-    let mut link = Lines::accept(&exchange);
-    let mut client = node.client();
-    stand(&mut link, &mut client, TAG);
-    node.terminate();
-    let begun = Instant::now();
-    assert!(node.ended_well());
-    node.logged("stopped: 1 calls stand");
-    assert!(begun.elapsed() > Duration::from_secs(3), "its end might still have come");
+fn after_sigterm_the_process_exits_although_a_call_is_established() {
+    let (mut daemon, exchange_listener, _journal) = start_daemon();
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut client = daemon.connect_client();
+    establish_call(&mut exchange, &mut client, TAG);
+    daemon.send_sigterm();
+    let started_at = Instant::now();
+    assert!(daemon.exits_successfully());
+    daemon.wait_for_log("stopped: 1 calls stand");
+    assert!(started_at.elapsed() > Duration::from_secs(3), "the daemon did not wait for the release");
 }
 
-/// Guards against a start on a configuration that is wrong, and against messages that don't say where.
+/// Guards against starting with an invalid configuration, and against error messages that don't name the key.
 #[test]
-fn a_faulty_key_is_named() {
-    let journal = JournalPeer::new();
-    let good = config(journal.addr, &[]);
-    let sip = "[sip]\nudp = \"127.0.0.1:0\"\n";
-    for (config, operator, words) in [
+fn startup_error_names_the_invalid_key() {
+    let journal = StubJournal::new();
+    let valid = config_json(journal.addr, &[]);
+    let sip_section = "[sip]\nudp = \"127.0.0.1:0\"\n";
+    for (config, operator_file, error) in [
         (
-            good.replace(r#""listen":"127.0.0.1:0""#, r#""listen":"here""#),
+            valid.replace(r#""listen":"127.0.0.1:0""#, r#""listen":"here""#),
             None,
             "listen: here is no address",
         ),
         (
-            operated(&good).replacen("127.0.0.1:0", &journal.addr.to_string(), 1),
+            with_admin_addr(&valid).replacen("127.0.0.1:0", &journal.addr.to_string(), 1),
             None,
             "admin_addr: Address already in use",
         ),
-        (good.replace(r#""tick_ms":5.0"#, r#""tick_ms":"5""#), None, "settings.tick_ms is no number"),
-        (good.replace(r#""full":true"#, r#""full":1"#), None, "known.entries[0]: hosts.full"),
-        (good.clone(), Some(format!("{sip}t1 = 5")), "sip.t1 is unknown"),
-        (good.clone(), Some("[sip]\n".into()), "sip.udp and sip.tcp are missing"),
+        (valid.replace(r#""tick_ms":5.0"#, r#""tick_ms":"5""#), None, "settings.tick_ms is no number"),
+        (valid.replace(r#""full":true"#, r#""full":1"#), None, "known.entries[0]: hosts.full"),
+        (valid.clone(), Some(format!("{sip_section}t1 = 5")), "sip.t1 is unknown"),
+        (valid.clone(), Some("[sip]\n".into()), "sip.udp and sip.tcp are missing"),
         (
-            good.clone(),
-            Some(format!("{sip}[[sip.number]]\nprefix = \"2\"\n")),
+            valid.clone(),
+            Some(format!("{sip_section}[[sip.number]]\nprefix = \"2\"\n")),
             "sip.number[0].class is missing",
         ),
     ] {
-        let mut node = Node::start(&config, operator.as_deref());
-        assert!(!node.ended_well());
-        node.logged(words);
+        let mut daemon = Daemon::start(&config, operator_file.as_deref());
+        assert!(!daemon.exits_successfully());
+        daemon.wait_for_log(error);
     }
 }
--- a/node/tests/liveness.rs
+++ b/node/tests/liveness.rs
@@ -1,5 +1,5 @@
-//! Calls at exchanges that fall silent: whoever lives keeps them, and of whoever does not the callers are told within
-//! eight seconds, whatever else is offered to the exchange meanwhile.
+//! Failure detection for exchanges that become silent. Calls at an exchange that is alive are kept. Calls at an
+//! exchange that is dead are released to their callers within eight seconds, with or without further set-ups to it.
 
 mod common;
 use common::*;
@@ -8,337 +8,367 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// The rule: the end of a call is told within this time where no release could be sent.
-const TOLD_WITHIN: Duration = Duration::from_millis(8050);
-/// A release that arrives is passed on within this time.
-const PASSED_ON_WITHIN: Duration = Duration::from_millis(1050);
+/// Where the exchange can't send a release, the caller receives one within this time after the end of the call.
+const MAX_RELEASE_DELAY: Duration = Duration::from_millis(8050);
+/// The daemon forwards a release that it receives within this time.
+const MAX_FORWARDING_DELAY: Duration = Duration::from_millis(1050);
 const TAG: &str = "9b1f03aa5c7e2d41";
 
-/// The program with one exchange that can fail, and no journal service.
-struct World {
-    node: Node,
+/// The daemon with one exchange that can fail, and no journal service.
+struct LivenessHarness {
+    daemon: Daemon,
     exchange: FaultyExchange,
     caller: Caller,
     next_tag: u64,
 }
 
-impl World {
-    fn new(manners: Manners, is_wide: bool) -> Self {
+impl LivenessHarness {
+    fn new(manners: Manners, has_four_connections: bool) -> Self {
         let exchange = FaultyExchange::start(manners, 1);
-        // Nobody listens there any more: the journal service is down from the start.
-        let journal = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-        let own = server("s-own", 0, "in_service", exchange.addr);
-        let config = config(journal, &[own, server("s-one", 1, "in_service", exchange.addr)]);
-        let config = if is_wide { wide(&config) } else { config };
-        let mut node = Node::start(&operated(&config), None);
-        let listens = node.logged("n0 started: listening on ").parse().expect("an address");
-        let caller = Caller::connect(listens).expect("the program listens");
-        World { node, exchange, caller, next_tag: 0xa000 }
+        // The listener is closed again at once, so the journal service is down from the start.
+        let journal =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port is bound");
+        let own_entry = server_entry("s-own", 0, "in_service", exchange.addr);
+        let config =
+            config_json(journal, &[own_entry, server_entry("s-one", 1, "in_service", exchange.addr)]);
+        let config = if has_four_connections { with_four_connections(&config) } else { config };
+        let mut daemon = Daemon::start(&with_admin_addr(&config), None);
+        let daemon_addr = daemon
+            .wait_for_log("n0 started: listening on ")
+            .parse()
+            .expect("the logged address is valid");
+        let caller = Caller::connect(daemon_addr).expect("the daemon listens");
+        LivenessHarness { daemon, exchange, caller, next_tag: 0xa000 }
     }
 
-    fn tag(&mut self) -> String {
+    fn next_unused_tag(&mut self) -> String {
         self.next_tag += 1;
         format!("{:016x}", self.next_tag)
     }
 
-    /// So many calls stand.
-    fn stand(&mut self, calls: usize) -> Vec<String> {
+    /// Establishes `count` calls at the exchange. Returns their tags, of which the first is [`TAG`].
+    fn establish_calls(&mut self, count: usize) -> Vec<String> {
         let mut tags = vec![TAG.to_owned()];
-        tags.extend((1..calls).map(|_| self.tag()));
+        tags.extend((1..count).map(|_| self.next_unused_tag()));
         for tag in &tags {
             assert!(self.caller.set_up(tag, Duration::from_secs(9), 1));
-            assert!(self.caller.stands(tag, PATIENCE), "{tag} does not stand");
+            assert!(self.caller.stands(tag, WAIT_TIMEOUT), "{tag} is not answered");
         }
         tags
     }
 
-    /// Goes on for a time, with a set-up to the exchange in each interval.
-    fn offer(&mut self, time: Duration, interval: Option<Duration>) {
-        let until = Instant::now() + time;
-        while let Some(left) = until.checked_duration_since(Instant::now()) {
-            std::thread::sleep(interval.unwrap_or(left).min(left));
-            if interval.is_some() {
-                let tag = self.tag();
+    /// Waits for a time, and meanwhile sends one set-up to the exchange in each interval, if there is one.
+    fn run_for(&mut self, duration: Duration, set_up_interval: Option<Duration>) {
+        let end = Instant::now() + duration;
+        while let Some(time_left) = end.checked_duration_since(Instant::now()) {
+            std::thread::sleep(set_up_interval.unwrap_or(time_left).min(time_left));
+            if set_up_interval.is_some() {
+                let tag = self.next_unused_tag();
                 self.caller.set_up(&tag, Duration::from_secs(2), 1);
             }
         }
     }
 
-    /// Checks that the ends of calls that were over at a time are told as the rule has it.
-    fn expect_told(&self, tags: &[String], over: Instant) {
+    /// Checks that the caller receives the releases of calls that ended at a given time within the allowed delay.
+    fn expect_released(&self, tags: &[String], ended_at: Instant) {
         for tag in tags {
-            let left = TOLD_WITHIN.saturating_sub(over.elapsed()) + Duration::from_secs(1);
-            let told = self.caller.over(tag, left);
-            let took = told.map(|at| at.saturating_duration_since(over));
-            eprintln!("{tag} told after {took:?}");
-            assert!(took.is_some_and(|t| t <= TOLD_WITHIN), "{tag} told after {took:?}");
+            let time_left =
+                MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()) + Duration::from_secs(1);
+            let released_at = self.caller.over(tag, time_left);
+            let delay = released_at.map(|at| at.saturating_duration_since(ended_at));
+            eprintln!("{tag} released after {delay:?}");
+            assert!(delay.is_some_and(|d| d <= MAX_RELEASE_DELAY), "{tag} released after {delay:?}");
         }
     }
 
-    /// Checks that calls stand, and that their ends are passed on once the exchange says so.
-    fn expect_kept(&self, tags: &[String]) {
+    /// Checks that calls are still established, and that their releases are forwarded once the exchange ends them.
+    fn expect_kept_then_released(&self, tags: &[String]) {
         for tag in tags {
-            assert_eq!(self.caller.told_over(tag), None, "{tag} was cut");
+            assert_eq!(self.caller.told_over(tag), None, "{tag} was released");
             self.exchange.release(tag);
-            let over = Instant::now();
-            let told = self.caller.over(tag, PATIENCE).expect("the release is passed on");
-            // It can only be sent where the exchange has a connection that it serves.
-            let released = self.exchange.call(tag).and_then(|c| c.released).expect("it was sent");
-            let took = told.saturating_duration_since(released);
-            assert!(took < PASSED_ON_WITHIN && told < over + TOLD_WITHIN, "{tag} told after {took:?}");
+            let ended_at = Instant::now();
+            let received_at = self.caller.over(tag, WAIT_TIMEOUT).expect("the release is forwarded");
+            // The exchange can send the release only once it has a connection that it serves.
+            let sent_at =
+                self.exchange.call(tag).and_then(|c| c.released).expect("the exchange sent the release");
+            let delay = received_at.saturating_duration_since(sent_at);
+            assert!(
+                delay < MAX_FORWARDING_DELAY && received_at < ended_at + MAX_RELEASE_DELAY,
+                "{tag} released after {delay:?}"
+            );
         }
     }
 }
 
-/// One or thirteen calls at an exchange whose machine vanishes, with set-ups offered to it in an interval.
-fn vanishes(calls: usize, is_wide: bool, interval: Option<Duration>) {
-    let mut world = World::new(Manners::PROTOCOL, is_wide);
-    let tags = world.stand(calls);
-    world.exchange.vanish();
-    let over = Instant::now();
-    world.offer(TOLD_WITHIN, interval);
-    world.expect_told(&tags, over);
+/// Guards against calls that stay established at an exchange whose machine vanishes without a reset. `set_up_interval`:
+/// how often a new set-up is sent to it, if at all.
+fn check_vanished_exchange(calls: usize, has_four_connections: bool, set_up_interval: Option<Duration>) {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+    let tags = harness.establish_calls(calls);
+    harness.exchange.vanish();
+    let ended_at = Instant::now();
+    harness.run_for(MAX_RELEASE_DELAY, set_up_interval);
+    harness.expect_released(&tags, ended_at);
 }
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn vanished_with_nothing_offered() {
-    vanishes(1, true, None);
+fn call_at_a_vanished_exchange_is_released_without_new_set_ups() {
+    check_vanished_exchange(1, true, None);
 }
 
 #[test]
-fn vanished_with_thirteen_calls_and_nothing_offered() {
-    vanishes(13, true, None);
+fn thirteen_calls_at_a_vanished_exchange_are_released_without_new_set_ups() {
+    check_vanished_exchange(13, true, None);
 }
 
 #[test]
-fn vanished_with_one_connection_and_nothing_offered() {
-    vanishes(1, false, None);
+fn call_on_the_only_connection_to_a_vanished_exchange_is_released() {
+    check_vanished_exchange(1, false, None);
 }
 
 #[test]
-fn vanished_with_set_ups_offered_often() {
-    vanishes(13, true, Some(MS(200)));
+fn calls_at_a_vanished_exchange_are_released_during_frequent_set_ups() {
+    check_vanished_exchange(13, true, Some(MS(200)));
 }
 
 #[test]
-fn vanished_with_set_ups_offered_seldom() {
-    vanishes(1, true, Some(MS(3500)));
-}
-
-/// A machine that vanishes, and a new process at its address some time later.
-fn replaced(after: u64, is_wide: bool, interval: Option<Duration>) {
-    let mut world = World::new(Manners::PROTOCOL, is_wide);
-    let tags = world.stand(3);
-    world.exchange.vanish();
-    let over = Instant::now();
-    world.offer(MS(after), interval);
-    world.exchange.replace();
-    world.offer(TOLD_WITHIN.saturating_sub(over.elapsed()), interval);
-    world.expect_told(&tags, over);
-    let next = world.tag();
-    assert!(world.caller.set_up(&next, Duration::from_secs(9), 1));
-    assert!(world.caller.stands(&next, PATIENCE), "the new process is reached");
+fn call_at_a_vanished_exchange_is_released_during_rare_set_ups() {
+    check_vanished_exchange(1, true, Some(MS(3500)));
+}
+
+/// Guards against calls that stay established because a new process answers at the address of the vanished machine:
+/// it knows nothing of them.
+fn check_replaced_exchange(
+    replaced_after_ms: u64,
+    has_four_connections: bool,
+    set_up_interval: Option<Duration>,
+) {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+    let tags = harness.establish_calls(3);
+    harness.exchange.vanish();
+    let ended_at = Instant::now();
+    harness.run_for(MS(replaced_after_ms), set_up_interval);
+    harness.exchange.replace();
+    harness.run_for(MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()), set_up_interval);
+    harness.expect_released(&tags, ended_at);
+    let new_tag = harness.next_unused_tag();
+    assert!(harness.caller.set_up(&new_tag, Duration::from_secs(9), 1));
+    assert!(
+        harness.caller.stands(&new_tag, WAIT_TIMEOUT),
+        "a set-up to the new process is not answered"
+    );
 }
 
 #[test]
-fn replaced_after_three_seconds_with_set_ups_offered() {
-    replaced(3000, true, Some(MS(200)));
+fn calls_are_released_when_the_exchange_is_replaced_after_3_s_with_set_ups() {
+    check_replaced_exchange(3000, true, Some(MS(200)));
 }
 
 #[test]
-fn replaced_after_six_seconds_with_set_ups_offered() {
-    replaced(6000, true, Some(MS(200)));
+fn calls_are_released_when_the_exchange_is_replaced_after_6_s_with_set_ups() {
+    check_replaced_exchange(6000, true, Some(MS(200)));
 }
 
 #[test]
-fn replaced_after_five_seconds_with_nothing_offered() {
-    replaced(5000, true, None);
+fn calls_are_released_when_the_exchange_is_replaced_after_5_s_without_set_ups() {
+    check_replaced_exchange(5000, true, None);
 }
 
 #[test]
-fn replaced_after_five_seconds_on_one_connection() {
-    replaced(5000, false, None);
+fn calls_are_released_when_the_exchange_is_replaced_after_5_s_on_one_connection() {
+    check_replaced_exchange(5000, false, None);
 }
 
 #[test]
-fn replaced_after_one_second_with_set_ups_offered() {
-    replaced(1000, true, Some(MS(200)));
+fn calls_are_released_when_the_exchange_is_replaced_after_1_s_with_set_ups() {
+    check_replaced_exchange(1000, true, Some(MS(200)));
 }
 
-/// The process dies and another listens at once: nobody sees a refused connection between the two.
+/// Guards against calls that stay established when the exchange process dies and another listens at once, so that no
+/// connection is refused in between.
 #[test]
-fn crashed_and_back_at_once() {
-    let mut world = World::new(Manners::PROTOCOL, true);
-    let tags = world.stand(3);
-    world.exchange.crash();
-    world.exchange.restart();
-    let over = Instant::now();
-    world.offer(TOLD_WITHIN, None);
-    world.expect_told(&tags, over);
-}
-
-/// A process that stands still for longer than the rule allows: what ends there meanwhile can't be told of.
+fn calls_are_released_when_the_exchange_crashes_and_restarts_at_once() {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let tags = harness.establish_calls(3);
+    harness.exchange.crash();
+    harness.exchange.restart();
+    let ended_at = Instant::now();
+    harness.run_for(MAX_RELEASE_DELAY, None);
+    harness.expect_released(&tags, ended_at);
+}
+
+/// Guards against a call that stays established because it ends while its exchange hangs for good: a hung process can't
+/// send the release.
 #[test]
-fn hung_for_good() {
-    let mut world = World::new(Manners::PROTOCOL, true);
-    let tags = world.stand(2);
-    world.exchange.hang();
-    let over = Instant::now();
-    world.exchange.release(TAG);
-    world.offer(TOLD_WITHIN, None);
-    world.expect_told(&tags[..1], over);
+fn call_that_ends_at_a_hung_exchange_is_released() {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let tags = harness.establish_calls(2);
+    harness.exchange.hang();
+    let ended_at = Instant::now();
+    harness.exchange.release(TAG);
+    harness.run_for(MAX_RELEASE_DELAY, None);
+    harness.expect_released(&tags[..1], ended_at);
 }
 
-/// An exchange with nothing to say, in any manner that peers have.
-fn lives_in_silence(manners: Manners, is_wide: bool) {
-    let mut world = World::new(manners, is_wide);
-    let tags = world.stand(2);
-    world.offer(MS(16_000), None);
-    world.expect_kept(&tags);
+/// Guards against releasing calls at an exchange that is alive and sends nothing because nothing happens there.
+fn check_silent_live_exchange(manners: Manners, has_four_connections: bool) {
+    let mut harness = LivenessHarness::new(manners, has_four_connections);
+    let tags = harness.establish_calls(2);
+    harness.run_for(MS(16_000), None);
+    harness.expect_kept_then_released(&tags);
 }
 
 #[test]
-fn silent_and_alive() {
-    lives_in_silence(Manners::PROTOCOL, true);
+fn calls_at_a_silent_live_exchange_are_kept() {
+    check_silent_live_exchange(Manners::PROTOCOL, true);
 }
 
 #[test]
-fn silent_and_alive_on_one_connection() {
-    lives_in_silence(Manners::PROTOCOL, false);
+fn calls_at_a_silent_live_exchange_are_kept_on_one_connection() {
+    check_silent_live_exchange(Manners::PROTOCOL, false);
 }
 
 #[test]
-fn silent_and_alive_without_a_greeting() {
-    lives_in_silence(Manners { greets: false, reports: false, ..Manners::PROTOCOL }, true);
+fn calls_at_a_live_exchange_that_sends_no_reports_are_kept() {
+    check_silent_live_exchange(Manners { greets: false, reports: false, ..Manners::PROTOCOL }, true);
 }
 
 #[test]
-fn silent_and_alive_and_keeps_connections_open() {
+fn calls_at_a_live_exchange_that_never_closes_connections_are_kept() {
     let manners =
         Manners { greets: false, reports: false, closes: false, insists: true, ..Manners::PROTOCOL };
-    lives_in_silence(manners, true);
+    check_silent_live_exchange(manners, true);
 }
 
-/// An exchange that stalls for some time and goes on, in either way of stalling.
-fn stalls(time: u64, is_wide: bool, is_cut_off: bool) {
-    let mut world = World::new(Manners::PROTOCOL, is_wide);
-    let tags = world.stand(2);
-    if is_cut_off {
-        world.exchange.cut_off();
+/// Guards against releasing calls at an exchange that hangs or is unreachable for some time and then continues.
+fn check_stalled_exchange(stall_ms: u64, has_four_connections: bool, is_unreachable: bool) {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+    let tags = harness.establish_calls(2);
+    if is_unreachable {
+        harness.exchange.cut_off();
     } else {
-        world.exchange.hang();
+        harness.exchange.hang();
     }
-    world.offer(MS(time), None);
-    world.exchange.reconnect();
-    world.offer(MS(10_000), None);
-    world.expect_kept(&tags);
+    harness.run_for(MS(stall_ms), None);
+    harness.exchange.reconnect();
+    harness.run_for(MS(10_000), None);
+    harness.expect_kept_then_released(&tags);
 }
 
 #[test]
-fn hung_for_two_seconds() {
-    stalls(2000, true, false);
+fn calls_are_kept_when_the_exchange_hangs_for_2_s() {
+    check_stalled_exchange(2000, true, false);
 }
 
 #[test]
-fn hung_for_four_seconds() {
-    stalls(4000, false, false);
+fn calls_are_kept_when_the_exchange_hangs_for_4_s() {
+    check_stalled_exchange(4000, false, false);
 }
 
 #[test]
-fn cut_off_for_two_seconds() {
-    stalls(2000, false, true);
+fn calls_are_kept_when_the_exchange_is_unreachable_for_2_s() {
+    check_stalled_exchange(2000, false, true);
 }
 
 #[test]
-fn cut_off_for_four_seconds() {
-    stalls(4000, true, true);
+fn calls_are_kept_when_the_exchange_is_unreachable_for_4_s() {
+    check_stalled_exchange(4000, true, true);
 }
 
-/// Every connection is reset, one by one, and the process lives on.
+/// Guards against releasing calls because the connections are reset, several times in a row, while the process goes on.
 #[test]
-fn connections_reset_in_turn() {
-    let mut world = World::new(Manners::PROTOCOL, false);
-    let tags = world.stand(2);
+fn calls_are_kept_when_the_connections_are_reset_repeatedly() {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, false);
+    let tags = harness.establish_calls(2);
     for _ in 0..3 {
-        world.exchange.reset_connections();
-        world.offer(MS(3000), None);
+        harness.exchange.reset_connections();
+        harness.run_for(MS(3000), None);
     }
-    world.expect_kept(&tags);
+    harness.expect_kept_then_released(&tags);
 }
 
-/// A planned stop while an exchange is silent: the process ends before its calls would be lost, and nobody is left to tell
-/// their callers later.
-fn stopped(hung: bool) {
-    let mut world = World::new(Manners::PROTOCOL, true);
-    let tags = world.stand(3);
-    if hung {
-        world.exchange.hang();
+/// Guards against calls without a release when the daemon shuts down gracefully while their exchange is silent: the
+/// daemon exits before it would detect the failure, and nothing else can release the calls later.
+fn check_graceful_shutdown(is_hung: bool) {
+    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let tags = harness.establish_calls(3);
+    if is_hung {
+        harness.exchange.hang();
     } else {
-        world.exchange.vanish();
+        harness.exchange.vanish();
     }
-    world.offer(MS(3000), None);
-    world.node.terminate();
-    // Killed after the longest deadline, three seconds of it, and 0.7 s.
-    let killed = Instant::now() + MS(3700);
-    assert!(world.node.ended_well() && Instant::now() < killed);
+    harness.run_for(MS(3000), None);
+    harness.daemon.send_sigterm();
+    // The platform kills the process 0.7 s after the longest deadline, of which at most three seconds count.
+    let killed_at = Instant::now() + MS(3700);
+    assert!(harness.daemon.exits_successfully() && Instant::now() < killed_at);
     for tag in &tags {
-        assert!(world.caller.told_over(tag).is_some_and(|at| at < killed), "{tag} was not told");
+        assert!(
+            harness.caller.told_over(tag).is_some_and(|at| at < killed_at),
+            "{tag} was not released in time"
+        );
     }
 }
 
 #[test]
-fn stopped_while_vanished() {
-    stopped(false);
+fn graceful_shutdown_releases_calls_at_a_vanished_exchange() {
+    check_graceful_shutdown(false);
 }
 
 #[test]
-fn stopped_while_hung() {
-    stopped(true);
+fn graceful_shutdown_releases_calls_at_a_hung_exchange() {
+    check_graceful_shutdown(true);
 }
 
-/// An exchange that leaves idle connections open and serves them no more: what it says, it says on newer ones.
+/// Guards against releasing calls at an exchange that leaves idle connections open without serving them, and sends only
+/// on newer ones.
 #[test]
-fn silent_and_alive_and_forgets_idle_connections() {
+fn calls_are_kept_when_the_exchange_stops_serving_idle_connections() {
     let idle = Some((MS(3000), IdleHabit::Forgets));
-    lives_in_silence(Manners { idle, ..Manners::PROTOCOL }, true);
+    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
 }
 
 #[test]
-fn silent_and_alive_and_closes_idle_connections() {
+fn calls_are_kept_when_the_exchange_closes_idle_connections() {
     let idle = Some((MS(1500), IdleHabit::Closes));
-    lives_in_silence(Manners { idle, ..Manners::PROTOCOL }, true);
+    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
 }
 
 #[test]
-fn silent_and_alive_and_resets_idle_connections() {
+fn calls_are_kept_when_the_exchange_resets_idle_connections() {
     let idle = Some((MS(3000), IdleHabit::Resets));
-    lives_in_silence(Manners { idle, ..Manners::PROTOCOL }, true);
+    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
 }
 
-/// An exchange that goes on serving the one connection it has, and no other: that one is not taken from it.
+/// Guards against closing the only connection that an exchange serves: it accepts further ones and never serves them.
 #[test]
-fn silent_and_alive_and_serves_one_connection() {
-    let bare = Manners { greets: false, reports: false, ..Manners::PROTOCOL };
-    let mut world = World::new(bare, false);
-    let tags = world.stand(2);
-    world.exchange.behave(Manners { dead_connections: 100, ..bare });
-    world.offer(MS(16_000), None);
-    world.expect_kept(&tags);
+fn calls_are_kept_when_the_exchange_serves_only_its_first_connection() {
+    let no_reports = Manners { greets: false, reports: false, ..Manners::PROTOCOL };
+    let mut harness = LivenessHarness::new(no_reports, false);
+    let tags = harness.establish_calls(2);
+    harness.exchange.behave(Manners { dead_connections: 100, ..no_reports });
+    harness.run_for(MS(16_000), None);
+    harness.expect_kept_then_released(&tags);
 }
 
-/// A process that dies for good: its connections are reset and new ones refused, which ends its calls at once.
+/// Guards against calls that are not released at once when the exchange process dies for good: its connections are
+/// reset and new ones refused.
 #[test]
-fn crashed_for_good() {
-    for is_wide in [true, false] {
-        let mut world = World::new(Manners::PROTOCOL, is_wide);
-        let tags = world.stand(3);
-        world.exchange.crash();
-        let over = Instant::now();
+fn calls_are_released_soon_after_the_exchange_crashes() {
+    for has_four_connections in [true, false] {
+        let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+        let tags = harness.establish_calls(3);
+        harness.exchange.crash();
+        let crashed_at = Instant::now();
         for tag in &tags {
-            let told = world.caller.over(tag, PASSED_ON_WITHIN);
-            assert!(told.is_some(), "{tag} not told {:?} after the crash", over.elapsed());
+            let released_at = harness.caller.over(tag, MAX_FORWARDING_DELAY);
+            assert!(
+                released_at.is_some(),
+                "{tag} not released {:?} after the crash",
+                crashed_at.elapsed()
+            );
         }
     }
 }
--- a/node/tests/sip.rs
+++ b/node/tests/sip.rs
@@ -1,496 +1,570 @@
-//! Stories on the SIP front, against small stand-in callers and exchanges, over UDP and TCP.
+//! End-to-end tests of the SIP front, with scripted callers and exchanges, over UDP and TCP.
 
 mod common;
 use common::*;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-const SDP: &str = "v=0\r\nm=audio 31000 RTP/AVP 0\r\n";
-const ANSWER: &str = "v=0\r\nm=audio 32000 RTP/AVP 0\r\n";
+const OFFER_SDP: &str = "v=0\r\nm=audio 31000 RTP/AVP 0\r\n";
+const ANSWER_SDP: &str = "v=0\r\nm=audio 32000 RTP/AVP 0\r\n";
 
-/// Where the stand-in exchange waits for its first message.
-enum Place {
-    Udp(SipPeer),
-    Tcp(TcpListener),
+/// The exchange that the harness plays. Over TCP it listens until the daemon connects.
+enum FakeExchange {
+    Connected(SipPeer),
+    Listening(TcpListener),
 }
 
-struct World {
-    node: Node,
-    place: Place,
-    journal: Lines,
+/// The daemon with a SIP front, one exchange that the test scripts, and the stream of the stub journal service.
+struct SipHarness {
+    daemon: Daemon,
+    fake_exchange: FakeExchange,
+    journal: LinePeer,
     addr: SocketAddr,
 }
 
-impl World {
-    /// The program with one exchange, reached over SIP, and numbers from 21 on there.
-    fn new(exchange: &str) -> World {
-        Self::configured(exchange, |config| config)
+impl SipHarness {
+    /// Starts the daemon with one exchange, which it reaches over SIP and which serves the numbers that begin with 21.
+    fn new(transport: &str) -> SipHarness {
+        Self::with_config(transport, |config| config)
     }
 
-    /// The same where exchanges may be asked whether they live.
-    fn probing(exchange: &str) -> World {
-        Self::configured(exchange, |c| c.replace(r#""allowed":{"#, r#""allowed":{"probing":true,"#))
+    /// The same with settings that allow liveness checks of exchanges.
+    fn with_probing(transport: &str) -> SipHarness {
+        Self::with_config(transport, |config| {
+            config.replace(r#""allowed":{"#, r#""allowed":{"probing":true,"#)
+        })
     }
 
-    fn configured(exchange: &str, adapt: impl Fn(String) -> String) -> World {
-        let anywhere = "127.0.0.1:9".parse().expect("an address");
-        let (place, addr) = match exchange {
+    fn with_config(transport: &str, edit_config: impl Fn(String) -> String) -> SipHarness {
+        let placeholder_addr = "127.0.0.1:9".parse().expect("a valid address");
+        let (fake_exchange, addr) = match transport {
             "udp" => {
-                let peer = SipPeer::udp(anywhere);
-                let addr = peer.local();
-                (Place::Udp(peer), addr)
+                let peer = SipPeer::udp(placeholder_addr);
+                let addr = peer.local_addr();
+                (FakeExchange::Connected(peer), addr)
             }
             _ => {
-                let (listener, addr) = listener();
-                (Place::Tcp(listener), addr)
+                let (listener, addr) = bind_listener();
+                (FakeExchange::Listening(listener), addr)
             }
         };
-        let journal = JournalPeer::new();
-        let servers = [server("s-own", 0, "in_service", addr), server("s-one", 1, "in_service", addr)];
-        // T1 is short, so that retransmissions are many.
-        let operator = format!(
+        let journal = StubJournal::new();
+        let servers =
+            [server_entry("s-own", 0, "in_service", addr), server_entry("s-one", 1, "in_service", addr)];
+        // A short T1 causes many retransmissions.
+        let operator_file = format!(
             "[sip]\nudp = \"127.0.0.1:0\"\ntcp = \"127.0.0.1:0\"\nt1_ms = 100\n\
-             [[sip.exchange]]\ncell = 1\naddress = \"{addr}\"\ntransport = \"{exchange}\"\n\
+             [[sip.exchange]]\ncell = 1\naddress = \"{addr}\"\ntransport = \"{transport}\"\n\
              [[sip.number]]\nprefix = \"21\"\nexchange = 1\nclass = \"voice\"\n\
              [[sip.number]]\nprefix = \"3\"\nexchange = 2\nclass = \"voice\"\n"
         );
-        let node = Node::start(&adapt(operated(&config(journal.addr, &servers))), Some(&operator));
+        let daemon = Daemon::start(
+            &edit_config(with_admin_addr(&config_json(journal.addr, &servers))),
+            Some(&operator_file),
+        );
         let journal = journal.accept();
-        World { node, place, journal, addr }
+        SipHarness { daemon, fake_exchange, journal, addr }
     }
 
-    fn caller(&mut self, protocol: &str) -> SipPeer {
-        let addr = self.node.sip(protocol);
-        match protocol {
+    /// A caller that sends to the SIP front.
+    fn connect_caller(&mut self, transport: &str) -> SipPeer {
+        let addr = self.daemon.sip_addr(transport);
+        match transport {
             "udp" => SipPeer::udp(addr),
-            _ => SipPeer::tcp(TcpStream::connect(addr).expect("the front listens")),
+            _ => SipPeer::tcp(TcpStream::connect(addr).expect("the SIP front listens")),
         }
     }
 
-    /// The exchange, once it has a message to hear.
+    /// The scripted exchange. Over TCP the first call waits until the daemon connects.
     fn exchange(&mut self) -> &mut SipPeer {
-        if let Place::Tcp(listener) = &self.place {
-            self.place = Place::Udp(SipPeer::tcp(listener.accept().expect("a stream").0));
+        if let FakeExchange::Listening(listener) = &self.fake_exchange {
+            self.fake_exchange = FakeExchange::Connected(SipPeer::tcp(
+                listener.accept().expect("a connection is accepted").0,
+            ));
         }
-        match &mut self.place {
-            Place::Udp(peer) => peer,
-            Place::Tcp(_) => unreachable!("accepted above"),
+        match &mut self.fake_exchange {
+            FakeExchange::Connected(peer) => peer,
+            FakeExchange::Listening(_) => unreachable!("the connection is accepted above"),
         }
     }
 
-    /// A call is taken as far as the exchange, which has heard its INVITE and rings.
-    fn ring(&mut self, caller: &mut SipPeer, n: u32, more: &str) -> String {
-        caller.say(&request("INVITE", caller, n, "", more, SDP));
-        caller.hear("SIP/2.0 100");
+    /// The caller sends an INVITE, and the exchange receives it and answers 180. Returns the INVITE that the exchange
+    /// received.
+    fn ring_exchange(&mut self, caller: &mut SipPeer, call_number: u32, extra_headers: &str) -> String {
+        caller.send(&sip_request("INVITE", caller, call_number, "", extra_headers, OFFER_SDP));
+        caller.expect_message("SIP/2.0 100");
         let addr = self.addr;
         let exchange = self.exchange();
-        let invite = exchange.hear("INVITE sip:2101@");
-        assert!(invite.ends_with(SDP), "the description goes on unchanged");
-        exchange.say(&response(&invite, "180 Ringing", addr, ""));
+        let invite = exchange.expect_message("INVITE sip:2101@");
+        assert!(invite.ends_with(OFFER_SDP), "the session description was changed");
+        exchange.send(&sip_response(&invite, "180 Ringing", addr, ""));
         invite
     }
 
-    /// A call that stands on both sides; the To tag of the caller's dialog and the exchange's INVITE.
-    fn stand(&mut self, caller: &mut SipPeer, n: u32) -> (String, String) {
-        let invite = self.ring(caller, n, "");
+    /// Establishes a call: both sides have their answer and its ACK. Returns the To tag of the caller's dialog, and the
+    /// INVITE that the exchange received.
+    fn establish_call(&mut self, caller: &mut SipPeer, call_number: u32) -> (String, String) {
+        let invite = self.ring_exchange(caller, call_number, "");
         let addr = self.addr;
-        self.exchange().say(&response(&invite, "200 OK", addr, ANSWER));
-        self.exchange().hear("ACK");
-        let ok = caller.hear("SIP/2.0 200");
-        assert!(ok.ends_with(ANSWER), "the answer comes back unchanged");
-        let tag = to_tag(&ok);
-        caller.say(&request("ACK", caller, n, &tag, "", "").replace("z9hG4bKinvite", "z9hG4bKack"));
+        self.exchange().send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP));
+        self.exchange().expect_message("ACK");
+        let answer = caller.expect_message("SIP/2.0 200");
+        assert!(answer.ends_with(ANSWER_SDP), "the session description of the answer was changed");
+        let tag = to_tag(&answer);
+        caller.send(
+            &sip_request("ACK", caller, call_number, &tag, "", "")
+                .replace("z9hG4bKinvite", "z9hG4bKack"),
+        );
         (tag, invite)
     }
 }
 
-/// A request of the exchange within the dialog of an INVITE that it answered.
-fn from_exchange(method: &str, invite: &str, own: SocketAddr) -> String {
-    let via = header(invite, "Via");
-    let transport = &via[..via.find(' ').expect("a space")];
+/// A request from the exchange within the dialog of an INVITE that it has answered.
+fn request_from_exchange(method: &str, invite: &str, own_addr: SocketAddr) -> String {
+    let via = sip_header(invite, "Via");
+    let transport = &via[..via.find(' ').expect("Via has a space after the transport")];
     format!(
-        "{method} sip:slateshed SIP/2.0\r\nVia: {transport} {own};branch=z9hG4bKx1\r\nMax-Forwards: 70\r\n\
+        "{method} sip:slateshed SIP/2.0\r\nVia: {transport} {own_addr};branch=z9hG4bKx1\r\nMax-Forwards: 70\r\n\
          From: {};tag=callee\r\nTo: {}\r\nCall-ID: {}\r\nCSeq: 7 {method}\r\nContent-Length: 0\r\n\r\n",
-        header(invite, "To"),
-        header(invite, "From"),
-        header(invite, "Call-ID"),
+        sip_header(invite, "To"),
+        sip_header(invite, "From"),
+        sip_header(invite, "Call-ID"),
     )
 }
 
-fn stands_and_ends(from: &str, to: &str) {
-    let mut world = World::new(to);
-    let mut caller = world.caller(from);
-    let (tag, _) = world.stand(&mut caller, 1);
-    caller.say(&request("BYE", &caller, 1, &tag, "", ""));
-    caller.hear("SIP/2.0 200");
-    let addr = world.addr;
-    let bye = world.exchange().hear("BYE");
-    world.exchange().say(&response(&bye, "200 OK", addr, ""));
-    // The other way round.
-    let (_, invite) = world.stand(&mut caller, 2);
-    let bye = from_exchange("BYE", &invite, addr);
-    world.exchange().say(&bye);
-    world.exchange().hear("SIP/2.0 200");
-    let bye = caller.hear("BYE sip:drill@");
-    let own = caller.local();
-    caller.say(&response(&bye, "200 OK", own, ""));
-    assert_eq!(caller.new_within(Duration::from_millis(400)), None, "one final answer, and no more");
+/// Guards against messages that are not forwarded between the two legs, or answered twice, whichever side ends the
+/// call.
+fn check_call_and_release_from_both_sides(caller_transport: &str, exchange_transport: &str) {
+    let mut harness = SipHarness::new(exchange_transport);
+    let mut caller = harness.connect_caller(caller_transport);
+    let (tag, _) = harness.establish_call(&mut caller, 1);
+    caller.send(&sip_request("BYE", &caller, 1, &tag, "", ""));
+    caller.expect_message("SIP/2.0 200");
+    let addr = harness.addr;
+    let bye = harness.exchange().expect_message("BYE");
+    harness.exchange().send(&sip_response(&bye, "200 OK", addr, ""));
+    // The exchange ends the next call.
+    let (_, invite) = harness.establish_call(&mut caller, 2);
+    let bye = request_from_exchange("BYE", &invite, addr);
+    harness.exchange().send(&bye);
+    harness.exchange().expect_message("SIP/2.0 200");
+    let bye = caller.expect_message("BYE sip:drill@");
+    let own_addr = caller.local_addr();
+    caller.send(&sip_response(&bye, "200 OK", own_addr, ""));
+    assert_eq!(
+        caller.receive_new_within(Duration::from_millis(400)),
+        None,
+        "the caller received more than one final answer"
+    );
 }
 
 #[test]
-fn a_call_stands_and_is_ended_from_either_side_over_udp() {
-    stands_and_ends("udp", "udp");
+fn call_is_answered_and_released_from_either_side_over_udp() {
+    check_call_and_release_from_both_sides("udp", "udp");
 }
 
 #[test]
-fn a_call_stands_and_is_ended_from_either_side_over_tcp() {
-    stands_and_ends("tcp", "tcp");
+fn call_is_answered_and_released_from_either_side_over_tcp() {
+    check_call_and_release_from_both_sides("tcp", "tcp");
 }
 
 #[test]
-fn a_call_may_come_over_tcp_and_go_on_over_udp() {
-    stands_and_ends("tcp", "udp");
+fn call_received_over_tcp_is_forwarded_over_udp() {
+    check_call_and_release_from_both_sides("tcp", "udp");
 }
 
-/// Guards against a retransmission that is taken for a new call after its INVITE was cancelled, and against
-/// a call that is sent again within 500 ms of a cancel.
+/// Guards against treating a retransmission as a new call after its INVITE was cancelled, and against a retry within
+/// 500 ms of a CANCEL.
 #[test]
-fn a_retransmission_after_the_cancel_gets_the_same_answer_and_starts_nothing() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let invite = world.ring(&mut caller, 1, "");
-    caller.say(&request("CANCEL", &caller, 1, "", "", ""));
-    caller.hear("SIP/2.0 200");
-    let terminated = caller.hear("SIP/2.0 487");
-    let cancel = world.exchange().hear("CANCEL");
-    assert_eq!(header(&cancel, "Via"), header(&invite, "Via"), "the INVITE's own branch");
-    let addr = world.addr;
-    world.exchange().say(&response(&cancel, "200 OK", addr, ""));
-    world.exchange().say(&response(&invite, "487 Request Terminated", addr, ""));
-    world.exchange().hear("ACK");
-    caller.say(&request("INVITE", &caller, 1, "", "", SDP));
-    caller.hear_again(&terminated);
-    caller.say(&request("ACK", &caller, 1, &to_tag(&terminated), "", ""));
-    assert_eq!(world.exchange().new_within(Duration::from_millis(700)), None, "nothing new goes out");
-    assert_eq!(caller.new_within(Duration::from_millis(300)), None, "one final answer");
+fn retransmitted_invite_after_cancel_gets_the_same_487_and_starts_no_call() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    caller.send(&sip_request("CANCEL", &caller, 1, "", "", ""));
+    caller.expect_message("SIP/2.0 200");
+    let terminated = caller.expect_message("SIP/2.0 487");
+    let cancel = harness.exchange().expect_message("CANCEL");
+    assert_eq!(
+        sip_header(&cancel, "Via"),
+        sip_header(&invite, "Via"),
+        "CANCEL and its INVITE differ in their branch"
+    );
+    let addr = harness.addr;
+    harness.exchange().send(&sip_response(&cancel, "200 OK", addr, ""));
+    harness.exchange().send(&sip_response(&invite, "487 Request Terminated", addr, ""));
+    harness.exchange().expect_message("ACK");
+    caller.send(&sip_request("INVITE", &caller, 1, "", "", OFFER_SDP));
+    caller.expect_retransmission(&terminated);
+    caller.send(&sip_request("ACK", &caller, 1, &to_tag(&terminated), "", ""));
+    assert_eq!(
+        harness.exchange().receive_new_within(Duration::from_millis(700)),
+        None,
+        "the exchange received a new message"
+    );
+    assert_eq!(
+        caller.receive_new_within(Duration::from_millis(300)),
+        None,
+        "the caller received more than one final answer"
+    );
 }
 
-/// Guards against an answer that crosses the CANCEL and leaves a call standing with nobody there.
+/// Guards against an answer that crosses the CANCEL and leaves a call established without a caller.
 #[test]
-fn an_answer_that_crosses_the_cancel_is_acknowledged_and_released() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let invite = world.ring(&mut caller, 1, "");
-    caller.say(&request("CANCEL", &caller, 1, "", "", ""));
-    world.exchange().hear("CANCEL");
-    let addr = world.addr;
-    world.exchange().say(&response(&invite, "200 OK", addr, ANSWER));
-    world.exchange().hear("ACK");
-    world.exchange().hear("BYE");
+fn answer_that_crosses_the_cancel_is_acknowledged_and_released() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    caller.send(&sip_request("CANCEL", &caller, 1, "", "", ""));
+    harness.exchange().expect_message("CANCEL");
+    let addr = harness.addr;
+    harness.exchange().send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP));
+    harness.exchange().expect_message("ACK");
+    harness.exchange().expect_message("BYE");
 }
 
-fn refused_with_the_time_to_come_back(protocol: &str) {
-    let mut world = World::new(protocol);
-    let mut caller = world.caller(protocol);
-    let invite = world.ring(&mut caller, 1, "");
-    let addr = world.addr;
-    world.exchange().say(&response(&invite, "503 Service Unavailable", addr, ""));
-    world.exchange().hear("ACK");
-    let refusal = caller.hear("SIP/2.0 503");
-    assert_eq!(header(&refusal, "Retry-After"), "1", "whole seconds, rounded up");
-    caller.say(&request("ACK", &caller, 1, &to_tag(&refusal), "", ""));
+/// Guards against refusals without the time after which to retry, and against retransmissions after the ACK.
+fn check_refusal_with_retry_after(transport: &str) {
+    let mut harness = SipHarness::new(transport);
+    let mut caller = harness.connect_caller(transport);
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    let addr = harness.addr;
+    harness.exchange().send(&sip_response(&invite, "503 Service Unavailable", addr, ""));
+    harness.exchange().expect_message("ACK");
+    let refusal = caller.expect_message("SIP/2.0 503");
+    assert_eq!(sip_header(&refusal, "Retry-After"), "1", "not in whole seconds, rounded up");
+    caller.send(&sip_request("ACK", &caller, 1, &to_tag(&refusal), "", ""));
     assert_eq!(
-        caller.new_within(Duration::from_millis(500)),
+        caller.receive_new_within(Duration::from_millis(500)),
         None,
-        "one final answer, once acknowledged"
+        "the caller received a message after its ACK"
     );
 }
 
 #[test]
-fn a_full_exchange_is_a_503_with_retry_after_over_udp() {
-    refused_with_the_time_to_come_back("udp");
+fn call_to_a_full_exchange_gets_503_with_retry_after_over_udp() {
+    check_refusal_with_retry_after("udp");
 }
 
 #[test]
-fn a_full_exchange_is_a_503_with_retry_after_over_tcp() {
-    refused_with_the_time_to_come_back("tcp");
+fn call_to_a_full_exchange_gets_503_with_retry_after_over_tcp() {
+    check_refusal_with_retry_after("tcp");
 }
 
-/// Guards against callers who get no answer within the time that Expires gives.
+/// Guards against callers that get no final answer within the time in Expires.
 #[test]
-fn an_exchange_that_only_rings_is_cancelled_before_the_caller_gives_up() {
-    for protocol in ["udp", "tcp"] {
-        let mut world = World::new(protocol);
-        let mut caller = world.caller(protocol);
-        let begun = Instant::now();
-        world.ring(&mut caller, 1, "Expires: 1\r\n");
-        caller.hear("SIP/2.0 503");
-        assert!(begun.elapsed() >= Duration::from_millis(800), "given its time");
-        world.exchange().hear("CANCEL");
+fn call_that_only_rings_is_refused_and_cancelled_by_its_expires_time() {
+    for transport in ["udp", "tcp"] {
+        let mut harness = SipHarness::new(transport);
+        let mut caller = harness.connect_caller(transport);
+        let started_at = Instant::now();
+        harness.ring_exchange(&mut caller, 1, "Expires: 1\r\n");
+        caller.expect_message("SIP/2.0 503");
+        assert!(
+            started_at.elapsed() >= Duration::from_millis(800),
+            "the exchange had too little time to answer"
+        );
+        harness.exchange().expect_message("CANCEL");
     }
 }
 
-/// Guards against a dialog that dies, or a call that is sent, once its exchange starts to drain.
+/// Guards against a dialog that ends, or a new call that is sent to the exchange, once the exchange starts to drain.
 #[test]
-fn a_dialog_goes_on_while_its_exchange_drains_and_ends_with_it() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    world.stand(&mut caller, 1);
-    let addr = world.addr;
-    world.journal.say(&event(2, false, &[server("s-one", 1, "terminating", addr)]));
-    world.node.logged("list: event 2");
-    assert_eq!(caller.new_within(Duration::from_millis(600)), None, "the dialog goes on");
-    caller.say(&request("INVITE", &caller, 2, "", "", SDP));
-    caller.hear("SIP/2.0 100");
-    let refusal = caller.hear("SIP/2.0 503");
-    caller.say(&request("ACK", &caller, 2, &to_tag(&refusal), "", ""));
-    assert_eq!(world.exchange().new_within(Duration::from_millis(300)), None, "nothing new goes there");
-    world.journal.say(&event(3, false, &[server("s-one", 1, "terminated", addr)]));
-    caller.hear("BYE sip:drill@");
+fn dialog_continues_while_its_exchange_drains_and_ends_when_it_is_gone() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    harness.establish_call(&mut caller, 1);
+    let addr = harness.addr;
+    harness.journal.send(&journal_event(2, false, &[server_entry("s-one", 1, "terminating", addr)]));
+    harness.daemon.wait_for_log("list: event 2");
+    assert_eq!(
+        caller.receive_new_within(Duration::from_millis(600)),
+        None,
+        "the dialog ended during the drain"
+    );
+    caller.send(&sip_request("INVITE", &caller, 2, "", "", OFFER_SDP));
+    caller.expect_message("SIP/2.0 100");
+    let refusal = caller.expect_message("SIP/2.0 503");
+    caller.send(&sip_request("ACK", &caller, 2, &to_tag(&refusal), "", ""));
+    assert_eq!(
+        harness.exchange().receive_new_within(Duration::from_millis(300)),
+        None,
+        "the draining exchange received a new message"
+    );
+    harness.journal.send(&journal_event(3, false, &[server_entry("s-one", 1, "terminated", addr)]));
+    caller.expect_message("BYE sip:drill@");
 }
 
-/// Guards against malformed messages that are taken, pass without a word, or cost more than they should.
+/// Guards against malformed messages that are accepted, that get no response, or that affect more than their own
+/// stream.
 #[test]
-fn malformed_messages_get_400_and_what_is_no_message_costs_a_stream_at_most() {
-    for protocol in ["udp", "tcp"] {
-        let mut world = World::new(protocol);
-        let mut caller = world.caller(protocol);
-        let good = request("INVITE", &caller, 1, "", "", SDP);
-        for bad in [good.replace("CSeq: 1 INVITE", "CSeq: one"), good.replace("From: <", "From: <<")] {
-            caller.say(&bad);
-            caller.hear("SIP/2.0 400");
+fn malformed_messages_get_400_and_garbage_closes_at_most_its_stream() {
+    for transport in ["udp", "tcp"] {
+        let mut harness = SipHarness::new(transport);
+        let mut caller = harness.connect_caller(transport);
+        let valid = sip_request("INVITE", &caller, 1, "", "", OFFER_SDP);
+        for malformed in
+            [valid.replace("CSeq: 1 INVITE", "CSeq: one"), valid.replace("From: <", "From: <<")]
+        {
+            caller.send(&malformed);
+            caller.expect_message("SIP/2.0 400");
         }
-        caller.say(&good.replace("sip:2101@", "sip:99@").replace("invite1", "invite99"));
-        caller.hear("SIP/2.0 404");
-        caller.say(&request("BYE", &caller, 3, ";tag=none", "", ""));
-        caller.hear("SIP/2.0 481");
-        let mut other = world.caller(protocol);
-        other.say("\u{0}\u{1} what\r\nis this\r\n\r\n");
-        if protocol == "tcp" {
-            assert_eq!(other.new_within(PATIENCE), None, "closed");
+        caller.send(&valid.replace("sip:2101@", "sip:99@").replace("invite1", "invite99"));
+        caller.expect_message("SIP/2.0 404");
+        caller.send(&sip_request("BYE", &caller, 3, ";tag=none", "", ""));
+        caller.expect_message("SIP/2.0 481");
+        let mut invalid_caller = harness.connect_caller(transport);
+        invalid_caller.send("\u{0}\u{1} what\r\nis this\r\n\r\n");
+        if transport == "tcp" {
+            assert_eq!(
+                invalid_caller.receive_new_within(WAIT_TIMEOUT),
+                None,
+                "the stream is not closed"
+            );
         }
-        let mut fresh = world.caller(protocol);
-        world.ring(&mut fresh, 4, "");
-        assert!(world.node.runs());
+        let mut new_caller = harness.connect_caller(transport);
+        harness.ring_exchange(&mut new_caller, 4, "");
+        assert!(harness.daemon.is_running());
     }
 }
 
-/// Guards against streams that hold their place and say nothing, or never end what they say.
+/// Guards against streams that stay open without sending anything, or without completing a message.
 #[test]
-fn a_stream_that_says_nothing_whole_is_closed() {
-    let mut world = World::new("udp");
-    let (mut mute, mut half, mut more) = (world.caller("tcp"), world.caller("tcp"), world.caller("tcp"));
-    half.say("INVITE sip:2101@127.0.0.1 SIP/2.0\r\nVia: ");
-    let options = request("OPTIONS", &more, 1, "", "", "");
-    more.say(&format!("{options}INVITE sip:"));
-    more.hear("SIP/2.0 200");
-    for stream in [&mut mute, &mut half, &mut more] {
-        assert!(stream.closed());
+fn stream_without_a_complete_message_is_closed() {
+    let mut harness = SipHarness::new("udp");
+    let (mut silent_stream, mut partial_stream, mut second_message_stream) =
+        (harness.connect_caller("tcp"), harness.connect_caller("tcp"), harness.connect_caller("tcp"));
+    partial_stream.send("INVITE sip:2101@127.0.0.1 SIP/2.0\r\nVia: ");
+    let options = sip_request("OPTIONS", &second_message_stream, 1, "", "", "");
+    second_message_stream.send(&format!("{options}INVITE sip:"));
+    second_message_stream.expect_message("SIP/2.0 200");
+    for stream in [&mut silent_stream, &mut partial_stream, &mut second_message_stream] {
+        assert!(stream.wait_for_close());
     }
 }
 
-/// Guards against an answer that is spoilt and is passed on as a good one with an empty description.
+/// Guards against an invalid answer that is forwarded as a valid one with an empty session description.
 #[test]
-fn an_answer_whose_body_is_no_text_is_released_and_not_passed_on() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let invite = world.ring(&mut caller, 1, "");
-    let (addr, exchange) = (world.addr, world.exchange());
-    let mut spoilt = response(&invite, "200 OK", addr, "v=0!").into_bytes();
-    let end = spoilt.len() - 1;
-    spoilt[end] = 0xff;
-    exchange.raw(&spoilt);
-    exchange.hear("ACK");
-    let bye = exchange.hear("BYE");
-    exchange.say(&response(&bye, "200 OK", addr, ""));
-    // It may be repeated, and is sent again after the wait for release.
-    let again = exchange.hear("INVITE");
-    exchange.say(&response(&again, "486 Busy Here", addr, ""));
-    assert!(caller.hear("SIP/2.0 503").contains("Retry-After"));
+fn answer_whose_body_is_not_utf8_is_released_and_not_forwarded() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    let (addr, exchange) = (harness.addr, harness.exchange());
+    let mut invalid = sip_response(&invite, "200 OK", addr, "v=0!").into_bytes();
+    let last_index = invalid.len() - 1;
+    invalid[last_index] = 0xff;
+    exchange.send_bytes(&invalid);
+    exchange.expect_message("ACK");
+    let bye = exchange.expect_message("BYE");
+    exchange.send(&sip_response(&bye, "200 OK", addr, ""));
+    // The set-up may be repeated, so it is retried after the release delay.
+    let retry = exchange.expect_message("INVITE");
+    exchange.send(&sip_response(&retry, "486 Busy Here", addr, ""));
+    assert!(caller.expect_message("SIP/2.0 503").contains("Retry-After"));
 }
 
-/// Guards against an answer that is lost, and against one final answer that becomes two.
+/// Guards against an answer that is lost, and against two different final answers to one INVITE.
 #[test]
-fn over_udp_the_2xx_is_sent_again_until_its_ack() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let invite = world.ring(&mut caller, 1, "");
-    let addr = world.addr;
-    world.exchange().say(&response(&invite, "200 OK", addr, ANSWER));
-    let ack = world.exchange().hear("ACK");
-    let first = caller.hear("SIP/2.0 200");
-    caller.hear_again(&first);
-    // A late INVITE changes nothing.
-    caller.say(&request("INVITE", &caller, 1, "", "", SDP));
-    caller.hear_again(&first);
-    // The exchange's 2xx again: its ACK was lost.
-    world.exchange().say(&response(&invite, "200 OK", addr, ANSWER));
-    world.exchange().hear_again(&ack);
+fn over_udp_a_2xx_is_retransmitted_until_its_ack() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    let addr = harness.addr;
+    harness.exchange().send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP));
+    let ack = harness.exchange().expect_message("ACK");
+    let first = caller.expect_message("SIP/2.0 200");
+    caller.expect_retransmission(&first);
+    // A late retransmission of the INVITE changes nothing.
+    caller.send(&sip_request("INVITE", &caller, 1, "", "", OFFER_SDP));
+    caller.expect_retransmission(&first);
+    // The exchange retransmits its 2xx, as if the ACK were lost.
+    harness.exchange().send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP));
+    harness.exchange().expect_retransmission(&ack);
 }
 
-/// Guards against an INVITE that is sent again after its attempt was given up: it would be a second attempt
-/// by the time the call has gone elsewhere.
+/// Guards against retransmitting an INVITE after its attempt was cancelled: it would be a second attempt once the call
+/// has been sent to another exchange.
 #[test]
-fn an_invite_given_up_without_a_response_is_not_sent_again() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    caller.say(&request("INVITE", &caller, 1, "", "Expires: 1\r\n", SDP));
-    caller.hear("SIP/2.0 100");
-    let invite = world.exchange().hear("INVITE");
-    world.exchange().hear_again(&invite);
-    caller.hear("SIP/2.0 503");
-    while world.exchange().within(Duration::from_millis(100)).is_some() {}
-    assert_eq!(world.exchange().within(Duration::from_millis(1500)), None);
-    // A response that comes after all still has it cancelled.
-    let addr = world.addr;
-    world.exchange().say(&response(&invite, "180 Ringing", addr, ""));
-    world.exchange().hear("CANCEL");
+fn invite_cancelled_before_any_response_is_not_retransmitted() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    caller.send(&sip_request("INVITE", &caller, 1, "", "Expires: 1\r\n", OFFER_SDP));
+    caller.expect_message("SIP/2.0 100");
+    let invite = harness.exchange().expect_message("INVITE");
+    harness.exchange().expect_retransmission(&invite);
+    caller.expect_message("SIP/2.0 503");
+    while harness.exchange().receive_within(Duration::from_millis(100)).is_some() {}
+    assert_eq!(harness.exchange().receive_within(Duration::from_millis(1500)), None);
+    // A late response still causes a CANCEL.
+    let addr = harness.addr;
+    harness.exchange().send(&sip_response(&invite, "180 Ringing", addr, ""));
+    harness.exchange().expect_message("CANCEL");
 }
 
-/// Guards against a dialog that is ended by who is not in it.
+/// Guards against a dialog that is ended by a peer that is not part of it.
 #[test]
-fn a_bye_with_another_tag_is_not_of_the_dialog() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let (tag, _) = world.stand(&mut caller, 1);
-    caller.say(&request("BYE", &caller, 1, &tag, "", "").replace("tag=caller1", "tag=other"));
-    caller.hear("SIP/2.0 481");
-    assert_eq!(world.exchange().new_within(Duration::from_millis(300)), None, "the call stands");
+fn bye_with_a_different_from_tag_gets_481() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let (tag, _) = harness.establish_call(&mut caller, 1);
+    caller.send(&sip_request("BYE", &caller, 1, &tag, "", "").replace("tag=caller1", "tag=other"));
+    caller.expect_message("SIP/2.0 481");
+    assert_eq!(
+        harness.exchange().receive_new_within(Duration::from_millis(300)),
+        None,
+        "the exchange received a message of the other dialog"
+    );
 }
 
-/// Guards against dialogs that nobody can end once the program has stopped.
+/// Guards against dialogs that stay established after the daemon has exited, when nothing can end them any more.
 #[test]
-fn a_planned_stop_ends_the_dialogs_on_both_sides() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    world.stand(&mut caller, 1);
-    world.node.terminate();
-    let addr = world.addr;
-    let bye = world.exchange().hear("BYE");
-    world.exchange().say(&response(&bye, "200 OK", addr, ""));
-    let (bye, own) = (caller.hear("BYE"), caller.local());
-    caller.say(&response(&bye, "200 OK", own, ""));
-    assert!(world.node.ended_well());
+fn graceful_shutdown_ends_dialogs_on_both_sides() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    harness.establish_call(&mut caller, 1);
+    harness.daemon.send_sigterm();
+    let addr = harness.addr;
+    let bye = harness.exchange().expect_message("BYE");
+    harness.exchange().send(&sip_response(&bye, "200 OK", addr, ""));
+    let (bye, own_addr) = (caller.expect_message("BYE"), caller.local_addr());
+    caller.send(&sip_response(&bye, "200 OK", own_addr, ""));
+    assert!(harness.daemon.exits_successfully());
 }
 
-/// Guards against a drain that only one front knows of, or that costs SIP callers their calls: who asks is told to go
-/// elsewhere, and what comes all the same is taken.
+/// Guards against a drain that only one front applies, or that makes SIP callers lose their calls: OPTIONS gets 503, and
+/// calls that still arrive are accepted.
 #[test]
-fn a_drained_controller_says_so_over_sip_and_takes_what_comes() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    for (n, call, status) in [(1, "LEAVE", "SIP/2.0 503"), (2, "JOIN", "SIP/2.0 200")] {
-        assert_eq!(world.node.ask(call), ["done"]);
-        caller.say(&request("OPTIONS", &caller, n, "", "", ""));
-        caller.hear(status);
-        world.stand(&mut caller, 10 + n);
+fn drained_controller_answers_options_with_503_and_still_accepts_calls() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    for (call_number, operator_command, status) in
+        [(1, "LEAVE", "SIP/2.0 503"), (2, "JOIN", "SIP/2.0 200")]
+    {
+        assert_eq!(harness.daemon.operator_request(operator_command), ["done"]);
+        caller.send(&sip_request("OPTIONS", &caller, call_number, "", "", ""));
+        caller.expect_message(status);
+        harness.establish_call(&mut caller, 10 + call_number);
     }
-    assert!(
-        world.node.ask("DUMP")[0].contains(r#""succeeded":2,"declined":0,"aborted":0}},"forwards":2"#)
-    );
+    assert!(harness.daemon.operator_request("DUMP")[0]
+        .contains(r#""succeeded":2,"declined":0,"aborted":0}},"forwards":2"#));
 }
 
-/// Guards against fronts that only work with themselves: a call from the platform's wire goes on over SIP
-/// and is ended from there, and one from SIP goes on over lines.
+/// Guards against fronts that can't forward calls to each other: a call from the JSON-lines front is forwarded over SIP
+/// and ended from there, and a call from SIP is forwarded to an exchange over JSON lines.
 #[test]
-fn calls_pass_between_the_fronts() {
-    let mut world = World::new("udp");
-    let addr = world.addr;
-    let mut client = world.node.client();
-    client.start("9b1f03aa5c7e2d41", 3000, 1);
-    let invite = world.exchange().hear("INVITE sip:9b1f03aa5c7e2d41@");
-    world.exchange().say(&response(&invite, "200 OK", addr, ANSWER));
-    world.exchange().hear("ACK");
-    insta::assert_snapshot!(client.hear(), @r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"v=0\r\nm=audio 32000 RTP/AVP 0\r\n"}"#);
-    world.exchange().say(&from_exchange("BYE", &invite, addr));
-    world.exchange().hear("SIP/2.0 200");
-    insta::assert_snapshot!(client.hear(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
-    // Numbers from 3 on are an exchange's that speaks lines.
-    let (exchange, addr) = listener();
-    world.journal.say(&event(2, false, &[server("s-two", 2, "in_service", addr)]));
-    let mut exchange = Lines::accept(&exchange);
-    let mut caller = world.caller("udp");
-    let to_lines = |m: String| m.replace("sip:2101@127", "sip:3101@127");
-    caller.say(&to_lines(request("INVITE", &caller, 7, "", "", SDP)));
-    caller.hear("SIP/2.0 100");
-    let tag = exchange.hear_start();
-    exchange.say(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"by lines"}}"#));
-    let ok = caller.hear("SIP/2.0 200");
-    assert!(ok.ends_with("by lines"));
-    let to = to_tag(&ok);
-    caller.say(&to_lines(request("ACK", &caller, 7, &to, "", "")));
-    caller.say(&to_lines(request("BYE", &caller, 7, &to, "", "")));
-    caller.hear("SIP/2.0 200");
-    assert!(exchange.hear().contains(&format!(r#""FINISH","tag":"{tag}","opts":{{}},"rc":16"#)));
+fn calls_are_forwarded_between_the_sip_and_lines_fronts() {
+    let mut harness = SipHarness::new("udp");
+    let addr = harness.addr;
+    let mut client = harness.daemon.connect_client();
+    client.send_start("9b1f03aa5c7e2d41", 3000, 1);
+    let invite = harness.exchange().expect_message("INVITE sip:9b1f03aa5c7e2d41@");
+    harness.exchange().send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP));
+    harness.exchange().expect_message("ACK");
+    insta::assert_snapshot!(client.receive(), @r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"v=0\r\nm=audio 32000 RTP/AVP 0\r\n"}"#);
+    harness.exchange().send(&request_from_exchange("BYE", &invite, addr));
+    harness.exchange().expect_message("SIP/2.0 200");
+    insta::assert_snapshot!(client.receive(), @r#"{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","opts":{},"rc":16}"#);
+    // Numbers that begin with 3 belong to an exchange that uses JSON lines.
+    let (exchange_listener, addr) = bind_listener();
+    harness.journal.send(&journal_event(2, false, &[server_entry("s-two", 2, "in_service", addr)]));
+    let mut exchange = LinePeer::accept(&exchange_listener);
+    let mut caller = harness.connect_caller("udp");
+    let to_number_3101 = |message: String| message.replace("sip:2101@127", "sip:3101@127");
+    caller.send(&to_number_3101(sip_request("INVITE", &caller, 7, "", "", OFFER_SDP)));
+    caller.expect_message("SIP/2.0 100");
+    let tag = exchange.receive_start();
+    exchange.send(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"by lines"}}"#));
+    let answer = caller.expect_message("SIP/2.0 200");
+    assert!(answer.ends_with("by lines"));
+    let dialog_tag = to_tag(&answer);
+    caller.send(&to_number_3101(sip_request("ACK", &caller, 7, &dialog_tag, "", "")));
+    caller.send(&to_number_3101(sip_request("BYE", &caller, 7, &dialog_tag, "", "")));
+    caller.expect_message("SIP/2.0 200");
+    assert!(exchange.receive().contains(&format!(r#""FINISH","tag":"{tag}","opts":{{}},"rc":16"#)));
 }
 
-/// Guards against requests that pass by the proxies that asked to stay on the way.
+/// Guards against requests that bypass the proxies which added themselves in Record-Route.
 #[test]
-fn requests_of_a_dialog_follow_its_record_route() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    let invite = world.ring(&mut caller, 1, "");
-    let (addr, anywhere) = (world.addr, world.addr);
-    let mut proxies = [SipPeer::udp(anywhere), SipPeer::udp(anywhere)];
-    let [near, far] = [proxies[0].local(), proxies[1].local()];
+fn requests_within_a_dialog_follow_its_record_route() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    let invite = harness.ring_exchange(&mut caller, 1, "");
+    let (addr, unused_target) = (harness.addr, harness.addr);
+    let mut proxies = [SipPeer::udp(unused_target), SipPeer::udp(unused_target)];
+    let [near, far] = [proxies[0].local_addr(), proxies[1].local_addr()];
     let routes = format!("Record-Route: <sip:{far};lr>, <sip:{near};lr>\r\nContact:");
-    world.exchange().say(&response(&invite, "200 OK", addr, ANSWER).replace("Contact:", &routes));
-    let ack = proxies[0].hear(&format!("ACK sip:{addr} "));
+    harness
+        .exchange()
+        .send(&sip_response(&invite, "200 OK", addr, ANSWER_SDP).replace("Contact:", &routes));
+    let ack = proxies[0].expect_message(&format!("ACK sip:{addr} "));
     let route: Vec<_> = ack.lines().filter(|l| l.starts_with("Route: ")).collect();
     assert_eq!(route, [format!("Route: <sip:{near};lr>"), format!("Route: <sip:{far};lr>")]);
-    let tag = to_tag(&caller.hear("SIP/2.0 200"));
-    caller.say(&request("BYE", &caller, 1, &tag, "", ""));
-    proxies[0].hear(&format!("BYE sip:{addr} "));
+    let tag = to_tag(&caller.expect_message("SIP/2.0 200"));
+    caller.send(&sip_request("BYE", &caller, 1, &tag, "", ""));
+    proxies[0].expect_message(&format!("BYE sip:{addr} "));
 }
 
-/// Guards against dialogs that stand for good at an exchange that has vanished: one that answers OPTIONS within the dialog
-/// keeps its call, and one that no longer answers has lost it.
-fn asked_while_it_answers(transport: &str) {
-    let mut world = World::probing(transport);
-    let mut caller = world.caller("udp");
-    world.stand(&mut caller, 1);
-    let (addr, begun) = (world.addr, Instant::now());
-    while begun.elapsed() < Duration::from_secs(4) {
-        let options = world.exchange().hear("OPTIONS");
-        world.exchange().say(&response(&options, "200 OK", addr, ""));
+/// Guards against dialogs that stay established at an exchange that has vanished. A call is kept while its exchange
+/// answers OPTIONS within the dialog, and released once the exchange no longer answers.
+fn check_call_is_kept_while_options_are_answered(transport: &str) {
+    let mut harness = SipHarness::with_probing(transport);
+    let mut caller = harness.connect_caller("udp");
+    harness.establish_call(&mut caller, 1);
+    let (addr, started_at) = (harness.addr, Instant::now());
+    while started_at.elapsed() < Duration::from_secs(4) {
+        let options = harness.exchange().expect_message("OPTIONS");
+        harness.exchange().send(&sip_response(&options, "200 OK", addr, ""));
     }
-    let silent = Instant::now();
-    assert_eq!(caller.new_within(Duration::from_millis(100)), None, "it answers");
-    caller.hear("BYE sip:drill@");
-    assert!(silent.elapsed() < Duration::from_secs(8), "told after {:?}", silent.elapsed());
+    let silent_since = Instant::now();
+    assert_eq!(
+        caller.receive_new_within(Duration::from_millis(100)),
+        None,
+        "the call ended although the exchange answers"
+    );
+    caller.expect_message("BYE sip:drill@");
+    assert!(
+        silent_since.elapsed() < Duration::from_secs(8),
+        "released after {:?}",
+        silent_since.elapsed()
+    );
 }
 
 #[test]
-fn an_exchange_that_may_be_asked_keeps_its_call_while_it_answers_over_udp() {
-    asked_while_it_answers("udp");
+fn call_is_kept_while_the_exchange_answers_options_over_udp() {
+    check_call_is_kept_while_options_are_answered("udp");
 }
 
 #[test]
-fn an_exchange_that_may_be_asked_keeps_its_call_while_it_answers_over_tcp() {
-    asked_while_it_answers("tcp");
+fn call_is_kept_while_the_exchange_answers_options_over_tcp() {
+    check_call_is_kept_while_options_are_answered("tcp");
 }
 
-/// Guards against dialogs that stand at a process which has started anew and knows none of them.
+/// Guards against dialogs that stay established at an exchange process which has restarted and knows none of them.
 #[test]
-fn an_exchange_that_does_not_know_the_dialog_has_lost_its_calls() {
-    let mut world = World::probing("udp");
-    let mut caller = world.caller("udp");
-    world.stand(&mut caller, 1);
-    world.stand(&mut caller, 2);
-    let addr = world.addr;
+fn calls_are_released_when_the_exchange_answers_options_with_481() {
+    let mut harness = SipHarness::with_probing("udp");
+    let mut caller = harness.connect_caller("udp");
+    harness.establish_call(&mut caller, 1);
+    harness.establish_call(&mut caller, 2);
+    let addr = harness.addr;
     for _ in 0..2 {
-        let options = world.exchange().hear("OPTIONS");
-        world.exchange().say(&response(&options, "481 Call/Transaction Does Not Exist", addr, ""));
-        caller.hear("BYE sip:drill@");
+        let options = harness.exchange().expect_message("OPTIONS");
+        harness.exchange().send(&sip_response(
+            &options,
+            "481 Call/Transaction Does Not Exist",
+            addr,
+            "",
+        ));
+        caller.expect_message("BYE sip:drill@");
     }
 }
 
-/// Guards against questions where the settings don't allow them, and against calls cut for want of an answer to none.
+/// Guards against OPTIONS where the settings don't allow liveness checks, and against calls that are released because
+/// an OPTIONS that was never sent has no answer.
 #[test]
-fn an_exchange_that_may_not_be_asked_is_not_and_keeps_its_call() {
-    let mut world = World::new("udp");
-    let mut caller = world.caller("udp");
-    world.stand(&mut caller, 1);
-    assert_eq!(world.exchange().new_within(Duration::from_secs(9)), None);
-    assert_eq!(caller.new_within(Duration::from_millis(100)), None);
+fn without_probing_no_options_are_sent_and_the_call_is_kept() {
+    let mut harness = SipHarness::new("udp");
+    let mut caller = harness.connect_caller("udp");
+    harness.establish_call(&mut caller, 1);
+    assert_eq!(harness.exchange().receive_new_within(Duration::from_secs(9)), None);
+    assert_eq!(caller.receive_new_within(Duration::from_millis(100)), None);
 }
