--- a/trials/src/caller.rs
+++ b/trials/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller that notes what it is told and when, and confirms the ends of its calls.
+//! A caller's connection to the daemon. It records each message that it receives, with the time, and confirms the
+//! releases of its calls.
 
 use slateshed_node::net::lines::Message;
 use std::io::{BufRead, BufReader, Write};
@@ -6,18 +7,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// One message that the caller was sent.
+/// A message that the caller received.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// When it arrived.
+pub struct ReceivedMessage {
+    /// When the message arrived.
     pub at: Instant,
     /// The message.
     pub message: Message,
 }
 
-impl Told {
-    /// Whether it answers a set-up with a call that stands.
-    pub fn stands(&self) -> bool {
+impl ReceivedMessage {
+    /// Whether the message answers a set-up with an established call.
+    pub fn is_started(&self) -> bool {
         self.message.verb == "STARTED"
     }
 }
@@ -25,102 +26,119 @@
 /// A caller's connection.
 pub struct Caller {
     stream: TcpStream,
-    /// Messages are written whole: the caller's own, and its confirmations of releases.
-    writing: Arc<Mutex<()>>,
-    told: Arc<Mutex<Vec<Told>>>,
-    closed: Arc<Mutex<Option<Instant>>>,
+    /// Held while a message is written. It keeps the caller's own messages and the confirmations of releases, which
+    /// another thread writes, from mixing.
+    write_lock: Arc<Mutex<()>>,
+    received: Arc<Mutex<Vec<ReceivedMessage>>>,
+    closed_at: Arc<Mutex<Option<Instant>>>,
 }
 
 impl Caller {
-    /// Connects; none where nobody listens.
+    /// Connects, or returns `None` if the connection fails.
     pub fn connect(addr: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(addr).ok()?;
-        let told = Arc::new(Mutex::new(Vec::<Told>::new()));
-        let closed = Arc::new(Mutex::new(None));
-        let (heard, reader) = (Arc::clone(&told), stream.try_clone().ok()?);
-        let ended = Arc::clone(&closed);
-        let writing = Arc::new(Mutex::new(()));
-        let confirming = Arc::clone(&writing);
+        let received = Arc::new(Mutex::new(Vec::<ReceivedMessage>::new()));
+        let closed_at = Arc::new(Mutex::new(None));
+        let (reader_received, reader) = (Arc::clone(&received), stream.try_clone().ok()?);
+        let reader_closed_at = Arc::clone(&closed_at);
+        let write_lock = Arc::new(Mutex::new(()));
+        let reader_write_lock = Arc::clone(&write_lock);
         std::thread::spawn(move || {
-            let mut confirms = reader.try_clone().expect("a copy");
+            let mut writer = reader.try_clone().expect("the socket can be duplicated");
             for line in BufReader::new(reader).lines().map_while(Result::ok) {
-                let message = Message::parse(line.as_bytes()).expect("the controller writes messages");
-                let mut told = heard.lock().expect("no panic");
-                let stood = told.iter().any(|t| t.stands() && t.message.tag == message.tag);
-                if message.verb == "FINISH" && stood {
+                let message =
+                    Message::parse(line.as_bytes()).expect("the controller sends valid messages");
+                let mut received =
+                    reader_received.lock().expect("no thread panicked while holding the lock");
+                let was_established =
+                    received.iter().any(|m| m.is_started() && m.message.tag == message.tag);
+                if message.verb == "FINISH" && was_established {
                     let tag = &message.tag;
                     let line = format!("{{\"verb\":\"FINISHED\",\"tag\":\"{tag}\",\"opts\":{{}}}}\n");
-                    let _whole = confirming.lock().expect("no panic");
-                    let _ = confirms.write_all(line.as_bytes());
+                    let _guard =
+                        reader_write_lock.lock().expect("no thread panicked while holding the lock");
+                    let _ = writer.write_all(line.as_bytes());
                 }
-                told.push(Told { at: Instant::now(), message });
+                received.push(ReceivedMessage { at: Instant::now(), message });
             }
-            *ended.lock().expect("no panic") = Some(Instant::now());
+            *reader_closed_at.lock().expect("no thread panicked while holding the lock") =
+                Some(Instant::now());
         });
-        Some(Caller { stream, writing, told, closed })
+        Some(Caller { stream, write_lock, received, closed_at })
     }
 
-    /// When the connection was closed on it.
-    pub fn closed(&self) -> Option<Instant> {
-        *self.closed.lock().expect("no panic")
+    /// When the controller closed the connection; `None` while it is open.
+    pub fn closed_at(&self) -> Option<Instant> {
+        *self.closed_at.lock().expect("no thread panicked while holding the lock")
     }
 
-    /// Sends a set-up; false where the connection is closed.
-    pub fn set_up(&mut self, tag: &str, left: Duration, dest: u32) -> bool {
-        self.set_up_in_pieces(tag, left, dest, Duration::ZERO)
+    /// Sends a set-up. Returns false if the connection is closed.
+    pub fn set_up(&mut self, tag: &str, time_left: Duration, dest: u32) -> bool {
+        self.set_up_in_two_parts(tag, time_left, dest, Duration::ZERO)
     }
 
-    /// The same in two pieces, with a pause between.
-    pub fn set_up_in_pieces(&mut self, tag: &str, left: Duration, dest: u32, pause: Duration) -> bool {
-        let left = left.as_millis();
+    /// Sends a set-up in two parts, with a pause between them, or whole if the pause is zero. Returns false if the
+    /// connection is closed.
+    pub fn set_up_in_two_parts(
+        &mut self,
+        tag: &str,
+        time_left: Duration,
+        dest: u32,
+        pause: Duration,
+    ) -> bool {
+        let left_ms = time_left.as_millis();
         let line = format!(
-            "{{\"verb\":\"START\",\"tag\":\"{tag}\",\"opts\":{{\"class\":\"voice\",\"left\":\"{left}\",\"key\":\"{tag}\",\
+            "{{\"verb\":\"START\",\"tag\":\"{tag}\",\"opts\":{{\"class\":\"voice\",\"left\":\"{left_ms}\",\"key\":\"{tag}\",\
              \"extras\":\"dest:{dest};width:1;via:-1\"}},\"blob\":\"v=0\"}}\n"
         );
-        let _whole = self.writing.lock().expect("no panic");
+        let _guard = self.write_lock.lock().expect("no thread panicked while holding the lock");
         let (first, rest) = line.as_bytes().split_at(line.len() / 2);
         if pause.is_zero() {
             return self.stream.write_all(line.as_bytes()).is_ok();
         }
-        let begun = self.stream.write_all(first).is_ok();
+        let first_written = self.stream.write_all(first).is_ok();
         std::thread::sleep(pause);
-        begun && self.stream.write_all(rest).is_ok()
+        first_written && self.stream.write_all(rest).is_ok()
     }
 
-    /// Releases a call or gives its set-up up.
+    /// Releases a call, or cancels its set-up. Returns false if the connection is closed.
     pub fn finish(&mut self, tag: &str) -> bool {
         let line = format!("{{\"verb\":\"FINISH\",\"tag\":\"{tag}\",\"opts\":{{}},\"rc\":16}}\n");
-        let _whole = self.writing.lock().expect("no panic");
+        let _guard = self.write_lock.lock().expect("no thread panicked while holding the lock");
         self.stream.write_all(line.as_bytes()).is_ok()
     }
 
-    /// All that it has been told.
-    pub fn told(&self) -> Vec<Told> {
-        self.told.lock().expect("no panic").clone()
+    /// All messages that were received so far.
+    pub fn received(&self) -> Vec<ReceivedMessage> {
+        self.received.lock().expect("no thread panicked while holding the lock").clone()
     }
 
-    /// When the end of a call that stood was told.
+    /// When the controller reported the end of an established call; `None` if it has not.
     pub fn told_over(&self, tag: &str) -> Option<Instant> {
-        let told = self.told();
-        let stood = told.iter().position(|t| t.stands() && t.message.tag == tag)?;
-        told[stood..].iter().find(|t| t.message.verb == "FINISH" && t.message.tag == tag).map(|t| t.at)
+        let received = self.received();
+        let started = received.iter().position(|m| m.is_started() && m.message.tag == tag)?;
+        received[started..]
+            .iter()
+            .find(|m| m.message.verb == "FINISH" && m.message.tag == tag)
+            .map(|m| m.at)
     }
 
-    /// Waits until a call stands; false if that takes too long.
-    pub fn stands(&self, tag: &str, within: Duration) -> bool {
-        self.wait(within, |told| told.iter().any(|t| t.stands() && t.message.tag == tag))
+    /// Waits until a call is established. Returns false if that takes longer than `timeout`.
+    pub fn stands(&self, tag: &str, timeout: Duration) -> bool {
+        self.wait(timeout, |received| received.iter().any(|m| m.is_started() && m.message.tag == tag))
     }
 
-    /// Waits until the end of a call is told; when.
-    pub fn over(&self, tag: &str, within: Duration) -> Option<Instant> {
-        self.wait(within, |_| self.told_over(tag).is_some());
+    /// Waits until the controller reports the end of a call, and returns when it did; `None` if that takes longer than
+    /// `timeout`.
+    pub fn over(&self, tag: &str, timeout: Duration) -> Option<Instant> {
+        self.wait(timeout, |_| self.told_over(tag).is_some());
         self.told_over(tag)
     }
 
-    fn wait(&self, within: Duration, mut is_so: impl FnMut(&[Told]) -> bool) -> bool {
-        let until = Instant::now() + within;
+    fn wait(&self, timeout: Duration, mut condition: impl FnMut(&[ReceivedMessage]) -> bool) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
-            if is_so(&self.told()) {
+            if condition(&self.received()) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(2));
--- a/trials/src/exchange.rs
+++ b/trials/src/exchange.rs
@@ -1,5 +1,5 @@
-//! An exchange that can fail: a scripted peer on loopback whose machine vanishes, hangs, is cut off, is replaced at
-//! its address, or crashes, and that keeps a record of every call it was given.
+//! A fake exchange on loopback that fails on request: its host fails or is replaced at its address, its network path is
+//! cut, or its process hangs or crashes. It records every call that it receives.
 
 use slateshed_node::net::lines::Message;
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
@@ -11,106 +11,106 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Connections that may wait to be accepted while the exchange serves.
-const BACKLOG: i32 = 128;
-/// How long a dial to a machine that vanished is watched before it counts as one that never comes up.
-const NEVER_UP: Duration = Duration::from_millis(20);
-/// The process of a connection that nobody serves.
-const DEAD: u32 = u32::MAX;
-/// Pause between two looks at the sockets.
-const STEP: Duration = Duration::from_millis(1);
+/// How many connections may wait to be accepted while the exchange serves.
+const LISTEN_BACKLOG: i32 = 128;
+/// A connection attempt that is not established after this time shows that the listener's queue is full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
+/// The process number of a connection that no process serves.
+const UNSERVED_PROCESS: u32 = u32::MAX;
+/// Pause between two polls of the sockets.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// What the exchange does with its sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// It accepts, reads and writes.
     Serving,
-    /// The process stands still; the system accepts connections for it.
+    /// The process hangs; the kernel still establishes connections for it.
     Hung,
-    /// Open connections stay open and silent, and new ones never come up.
+    /// Open connections stay open without any traffic, and new ones are never established.
     Unreachable,
-    /// New connections are refused, and there is no process.
+    /// No process runs, and new connections are refused.
     Down,
 }
 
 /// How the exchange behaves while it serves.
 #[derive(Clone, Copy, Debug)]
 pub struct Manners {
-    /// It states its trunk group first on each new connection.
+    /// It reports the load of its trunk group first on each new connection.
     pub greets: bool,
-    /// It states its trunk group on all connections when that changes.
+    /// It reports the load of its trunk group on all connections when it changes.
     pub reports: bool,
-    /// It closes a connection that its peer has closed.
+    /// It closes a connection when its peer has closed it.
     pub closes: bool,
-    /// It sends the release of a call on the connection of its set-up even where that has been closed on it.
+    /// It sends the release of a call on the connection of its set-up even if the peer has closed that connection.
     pub insists: bool,
     /// It answers set-ups.
-    pub answers: bool,
-    /// Mean time that a call stands; forever, where there is none.
-    pub hold: Option<Duration>,
-    /// Out of a hundred answers, how many are lost.
-    pub lost_answers: u8,
-    /// Out of a hundred answers, how many are spoilt.
-    pub spoilt_answers: u8,
-    /// Out of a hundred answers, how many are sent twice.
-    pub doubled_answers: u8,
-    /// Out of a hundred connections, how many are accepted and never served.
+    pub answers_set_ups: bool,
+    /// The mean hold of a call. Without one, calls last until they are released.
+    pub mean_hold: Option<Duration>,
+    /// The percentage of answers that are not sent.
+    pub lost_answer_percent: u8,
+    /// The percentage of answers that are malformed.
+    pub malformed_answer_percent: u8,
+    /// The percentage of answers that are sent twice.
+    pub duplicated_answer_percent: u8,
+    /// The percentage of connections that are accepted and never served.
     pub dead_connections: u8,
-    /// What it does with a connection on which nothing has passed for a time.
+    /// What it does with a connection that has had no traffic for a time, and that time.
     pub idle: Option<(Duration, IdleHabit)>,
 }
 
-/// What an exchange does with idle connections.
+/// What an exchange does with its idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleHabit {
-    /// It closes them in good order.
+    /// It closes them gracefully.
     Closes,
     /// It resets them.
     Resets,
-    /// It serves them no more and leaves them open.
+    /// It stops serving them and leaves them open.
     Forgets,
 }
 
 impl Manners {
-    /// As the protocol has it, with calls that stand until they are released.
+    /// Follows the protocol. Calls last until they are released.
     pub const PROTOCOL: Manners = Manners {
         greets: true,
         reports: true,
         closes: true,
         insists: false,
-        answers: true,
-        hold: None,
-        lost_answers: 0,
-        spoilt_answers: 0,
-        doubled_answers: 0,
+        answers_set_ups: true,
+        mean_hold: None,
+        lost_answer_percent: 0,
+        malformed_answer_percent: 0,
+        duplicated_answer_percent: 0,
         dead_connections: 0,
         idle: None,
     };
 }
 
-/// One call as the exchange knows it.
+/// A call, as the exchange recorded it.
 #[derive(Clone, Debug)]
-pub struct Record {
-    /// When it was answered.
-    pub stood: Instant,
-    /// When it was over, for whatever reason.
-    pub over: Option<Instant>,
-    /// When its release was sent, where one could be.
+pub struct CallRecord {
+    /// When the exchange answered its set-up, even if the answer was lost.
+    pub answered_at: Instant,
+    /// When it ended, for any reason.
+    pub ended_at: Option<Instant>,
+    /// When the exchange sent its release; `None` if it has not or could not.
     pub released: Option<Instant>,
-    /// The controller has released it.
-    pub cut: bool,
-    /// Which process of the exchange had it.
+    /// Whether the controller released it.
+    pub released_by_controller: bool,
+    /// The number of the process that it was established at.
     pub process: u32,
-    connection: u64,
-    ends: Option<Instant>,
+    connection_id: u64,
+    scheduled_end: Option<Instant>,
 }
 
-/// A time in which the exchange did not serve.
+/// A period in which the exchange did not serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     /// When it began.
     pub from: Instant,
-    /// When it was over, if it is.
+    /// When it ended; `None` if it has not.
     pub to: Option<Instant>,
 }
 
@@ -118,203 +118,206 @@
     id: u64,
     stream: TcpStream,
     input: Vec<u8>,
+    /// The number of the process that serves it, or `UNSERVED_PROCESS`.
     process: u32,
-    /// The peer has closed it.
-    is_closed: bool,
-    /// When anything last passed on it.
-    active: Instant,
+    /// Whether the peer has closed it.
+    peer_closed: bool,
+    /// When data was last sent or received on it.
+    last_active: Instant,
 }
 
 struct State {
-    /// What its answers describe, to know them by.
+    /// The port that the exchange listens on. Its answers carry it, so that they identify the exchange.
     port: u16,
     mode: Mode,
     manners: Manners,
     listener: Option<TcpListener>,
-    /// Connections of this peer's own that fill the queue of the listener.
-    fillers: Vec<Socket>,
+    /// Connections that the exchange makes to its own listener to fill its queue.
+    queue_fillers: Vec<Socket>,
     connections: Vec<Connection>,
-    next_connection: u64,
+    last_connection_id: u64,
+    /// The number of the current process. It counts up with each new one.
     process: u32,
-    calls: HashMap<String, Record>,
-    /// Releases that are sent once more on the next connection.
-    repeats: Vec<String>,
-    accepted: u64,
+    calls: HashMap<String, CallRecord>,
+    /// Calls whose releases are sent once more on the next connection.
+    releases_to_repeat: Vec<String>,
+    accepted_count: u64,
     set_ups: Vec<(Instant, String)>,
     outages: Vec<Outage>,
-    circuits: usize,
-    random: fastrand::Rng,
+    circuit_count: usize,
+    rng: fastrand::Rng,
 }
 
-/// The exchange, which ends with the test.
+/// The exchange. It ends when it is dropped.
 pub struct FaultyExchange {
-    /// Where it listens.
+    /// The address that the exchange listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 fn listen(addr: SocketAddr) -> TcpListener {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_reuse_address(true).expect("an option");
-    // A process that is being started elsewhere may hold a copy of the socket that listened there, for a moment.
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be opened");
+    socket.set_reuse_address(true).expect("SO_REUSEADDR can be set");
+    // A child process that another thread is starting may hold, for a moment, a copy of the socket that listened
+    // here.
     let until = Instant::now() + Duration::from_secs(1);
     while socket.bind(&SockAddr::from(addr)).is_err() {
-        assert!(Instant::now() < until, "the address is free");
-        std::thread::sleep(STEP);
+        assert!(Instant::now() < until, "the address {addr} is still in use after a second");
+        std::thread::sleep(POLL_INTERVAL);
     }
-    socket.listen(BACKLOG).expect("it listens");
-    socket.set_nonblocking(true).expect("an option");
+    socket.listen(LISTEN_BACKLOG).expect("the socket listens");
+    socket.set_nonblocking(true).expect("O_NONBLOCK can be set");
     socket.into()
 }
 
-fn release(tag: &str) -> String {
+fn release_message(tag: &str) -> String {
     format!(r#"{{"verb":"FINISH","tag":"{tag}","opts":{{}},"rc":16}}"#)
 }
 
 impl FaultyExchange {
-    /// Starts an exchange on a port of the system's choice. `seed` draws the times that calls stand.
+    /// Starts an exchange on a free port. Random choices, such as the hold of each call, are drawn from `seed`.
     pub fn start(manners: Manners, seed: u64) -> Self {
         let listener = listen(([127, 0, 0, 1], 0).into());
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener.local_addr().expect("the listener has an address");
         let state = Arc::new(Mutex::new(State {
             port: addr.port(),
             mode: Mode::Serving,
             manners,
             listener: Some(listener),
-            fillers: Vec::new(),
+            queue_fillers: Vec::new(),
             connections: Vec::new(),
-            next_connection: 0,
+            last_connection_id: 0,
             process: 0,
             calls: HashMap::new(),
-            repeats: Vec::new(),
-            accepted: 0,
+            releases_to_repeat: Vec::new(),
+            accepted_count: 0,
             set_ups: Vec::new(),
             outages: Vec::new(),
-            circuits: 30,
-            random: fastrand::Rng::with_seed(seed),
+            circuit_count: 30,
+            rng: fastrand::Rng::with_seed(seed),
         }));
-        let over = Arc::new(AtomicBool::new(false));
-        let (shared, ended) = (Arc::clone(&state), Arc::clone(&over));
+        let stopping = Arc::new(AtomicBool::new(false));
+        let (thread_state, thread_stopping) = (Arc::clone(&state), Arc::clone(&stopping));
         let thread = std::thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
-                shared.lock().expect("no panic").step();
-                std::thread::sleep(STEP);
+            while !thread_stopping.load(Ordering::Relaxed) {
+                thread_state.lock().expect("no thread panicked while holding the lock").poll();
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
-        FaultyExchange { addr, state, over, thread: Some(thread) }
+        FaultyExchange { addr, state, stopping, thread: Some(thread) }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("no thread panicked while holding the lock")
     }
 
-    /// The machine vanishes for good: its calls are over, and nobody says so.
+    /// Simulates a host failure: all calls end without a release, and the connections stay half-open.
     pub fn vanish(&self) {
         let mut state = self.state();
-        state.unreachable();
-        state.end_all(Instant::now());
+        state.make_unreachable();
+        state.end_all_calls(Instant::now());
     }
 
-    /// The way to the machine is cut: the process and its calls go on.
+    /// Cuts the network path to the exchange. The process and its calls continue.
     pub fn cut_off(&self) {
-        self.state().unreachable();
+        self.state().make_unreachable();
     }
 
-    /// The way is there again: what was said meanwhile arrives.
+    /// Restores the network path, or resumes a hung process. What was sent meanwhile arrives.
     pub fn reconnect(&self) {
         let mut state = self.state();
-        state.reopen();
-        state.serve();
+        state.empty_listen_queue();
+        state.resume_serving();
     }
 
-    /// The process stands still until [`Self::reconnect`]; its calls go on.
+    /// Makes the process hang until [`Self::reconnect`]. Its calls continue.
     pub fn hang(&self) {
-        self.state().fail(Mode::Hung);
+        self.state().stop_serving(Mode::Hung);
     }
 
-    /// A new process serves at the address and knows nothing of the calls before. The old connections stay open and
-    /// silent: nobody is left to close them.
+    /// Starts a new process at the address of a failed host. It knows none of the earlier calls. The old connections
+    /// stay half-open: no process is left to close them.
     pub fn replace(&self) {
         let mut state = self.state();
-        state.end_all(Instant::now());
+        state.end_all_calls(Instant::now());
         state.process += 1;
-        state.repeats.clear();
-        state.reopen();
-        state.serve();
+        state.releases_to_repeat.clear();
+        state.empty_listen_queue();
+        state.resume_serving();
     }
 
-    /// The process dies: its connections are reset, and new ones refused.
+    /// Crashes the process: its connections are reset, and new ones are refused.
     pub fn crash(&self) {
         let mut state = self.state();
-        state.end_all(Instant::now());
+        state.end_all_calls(Instant::now());
         state.listener = None;
-        state.fillers.clear();
+        state.queue_fillers.clear();
         state.process += 1;
-        state.repeats.clear();
-        state.reset_all();
-        state.fail(Mode::Down);
+        state.releases_to_repeat.clear();
+        state.reset_connections();
+        state.stop_serving(Mode::Down);
     }
 
-    /// A new process listens at the address of the one that died.
+    /// Starts a new process, which listens at the address of the crashed one.
     pub fn restart(&self) {
         let mut state = self.state();
         state.listener = Some(listen(self.addr));
-        state.serve();
+        state.resume_serving();
     }
 
-    /// Resets every open connection; the process lives on.
+    /// Resets every open connection. The process keeps running.
     pub fn reset_connections(&self) {
-        self.state().reset_all();
+        self.state().reset_connections();
     }
 
-    /// Changes how it behaves.
+    /// Changes the behavior of the exchange.
     pub fn behave(&self, manners: Manners) {
         self.state().manners = manners;
     }
 
-    /// Ends a call that stands, and says so if it can.
+    /// Ends an established call. The exchange sends the release if it can.
     pub fn release(&self, tag: &str) {
         if let Some(call) = self.state().calls.get_mut(tag) {
-            call.ends = Some(Instant::now());
+            call.scheduled_end = Some(Instant::now());
         }
     }
 
     /// The record of a call.
-    pub fn call(&self, tag: &str) -> Option<Record> {
+    pub fn call(&self, tag: &str) -> Option<CallRecord> {
         self.state().calls.get(tag).cloned()
     }
 
     /// The records of all calls.
-    pub fn calls(&self) -> HashMap<String, Record> {
+    pub fn calls(&self) -> HashMap<String, CallRecord> {
         self.state().calls.clone()
     }
 
-    /// Set-ups received, and when.
+    /// The ids of the set-ups that the exchange received, each with the time.
     pub fn set_ups(&self) -> Vec<(Instant, String)> {
         self.state().set_ups.clone()
     }
 
-    /// When the exchange did not serve.
+    /// The periods in which the exchange did not serve.
     pub fn outages(&self) -> Vec<Outage> {
         self.state().outages.clone()
     }
 
-    /// What it does now.
+    /// What the exchange does with its sockets now.
     pub fn mode(&self) -> Mode {
         self.state().mode
     }
 
-    /// Connections accepted since the start.
-    pub fn accepted(&self) -> u64 {
-        self.state().accepted
+    /// The number of connections accepted since the start.
+    pub fn accepted_count(&self) -> u64 {
+        self.state().accepted_count
     }
 }
 
 impl Drop for FaultyExchange {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -322,106 +325,107 @@
 }
 
 impl State {
-    fn step(&mut self) {
+    fn poll(&mut self) {
         if matches!(self.mode, Mode::Serving) {
             self.accept();
-            self.read();
-            self.treat_idle();
+            self.read_messages();
+            self.apply_idle_policy();
         }
         self.end_calls();
     }
 
-    fn fail(&mut self, mode: Mode) {
+    fn stop_serving(&mut self, mode: Mode) {
         if self.mode == Mode::Serving {
             self.outages.push(Outage { from: Instant::now(), to: None });
         }
         self.mode = mode;
     }
 
-    fn serve(&mut self) {
+    fn resume_serving(&mut self) {
         self.mode = Mode::Serving;
         if let Some(outage) = self.outages.last_mut().filter(|o| o.to.is_none()) {
             outage.to = Some(Instant::now());
         }
     }
 
-    /// No further connection comes up: the queue of the listener is as short as can be, and full.
-    fn unreachable(&mut self) {
-        self.fail(Mode::Unreachable);
+    /// Keeps new connections from being established: sets the listener's queue to its shortest length and fills it.
+    fn make_unreachable(&mut self) {
+        self.stop_serving(Mode::Unreachable);
         let Some(listener) = &self.listener else {
             return;
         };
-        SockRef::from(listener).listen(0).expect("it listens");
-        let addr = SockAddr::from(listener.local_addr().expect("an address"));
+        SockRef::from(listener).listen(0).expect("the socket listens");
+        let addr = SockAddr::from(listener.local_addr().expect("the listener has an address"));
         loop {
-            let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-            filler.set_nonblocking(true).expect("an option");
+            let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be opened");
+            filler.set_nonblocking(true).expect("O_NONBLOCK can be set");
             let _ = filler.connect(&addr);
-            std::thread::sleep(NEVER_UP);
-            let is_up = filler.peer_addr().is_ok();
-            self.fillers.push(filler);
-            if !is_up {
+            std::thread::sleep(CONNECT_TIMEOUT);
+            let is_connected = filler.peer_addr().is_ok();
+            self.queue_fillers.push(filler);
+            if !is_connected {
                 return;
             }
         }
     }
 
-    fn reopen(&mut self) {
-        self.fillers.clear();
+    fn empty_listen_queue(&mut self) {
+        self.queue_fillers.clear();
         if let Some(listener) = &self.listener {
-            SockRef::from(listener).listen(BACKLOG).expect("it listens");
+            SockRef::from(listener).listen(LISTEN_BACKLOG).expect("the socket listens");
         }
     }
 
-    fn reset_all(&mut self) {
+    fn reset_connections(&mut self) {
         for connection in self.connections.drain(..) {
             let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    /// All calls of the process are over, with nobody to say so.
-    fn end_all(&mut self, now: Instant) {
-        for call in self.calls.values_mut().filter(|c| c.over.is_none()) {
-            call.over = Some(now);
+    /// Ends all calls of the process.
+    fn end_all_calls(&mut self, now: Instant) {
+        for call in self.calls.values_mut().filter(|c| c.ended_at.is_none()) {
+            call.ended_at = Some(now);
         }
     }
 
-    fn load(&self) -> String {
-        let busy = self.calls.values().filter(|c| c.over.is_none()).count();
-        let (free, size) = (self.circuits.saturating_sub(busy), self.circuits);
-        format!(r#"{{"verb":"LOAD","tag":"","opts":{{"load":"spare:{free};total:{size}"}}}}"#)
+    fn load_message(&self) -> String {
+        let busy = self.calls.values().filter(|c| c.ended_at.is_none()).count();
+        let (free, total) = (self.circuit_count.saturating_sub(busy), self.circuit_count);
+        format!(r#"{{"verb":"LOAD","tag":"","opts":{{"load":"spare:{free};total:{total}"}}}}"#)
     }
 
     fn accept(&mut self) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(TcpListener::accept) {
-            stream.set_nonblocking(true).expect("an option");
-            stream.set_nodelay(true).expect("an option");
-            self.accepted += 1;
-            self.next_connection += 1;
-            let is_dead = self.random.u8(0..100) < self.manners.dead_connections;
-            let (id, process) = (self.next_connection, if is_dead { DEAD } else { self.process });
+            stream.set_nonblocking(true).expect("O_NONBLOCK can be set");
+            stream.set_nodelay(true).expect("TCP_NODELAY can be set");
+            self.accepted_count += 1;
+            self.last_connection_id += 1;
+            let is_unserved = self.rng.u8(0..100) < self.manners.dead_connections;
+            let (id, process) =
+                (self.last_connection_id, if is_unserved { UNSERVED_PROCESS } else { self.process });
             self.connections.push(Connection {
                 id,
                 stream,
                 input: Vec::new(),
                 process,
-                is_closed: false,
-                active: Instant::now(),
+                peer_closed: false,
+                last_active: Instant::now(),
             });
-            if is_dead {
+            if is_unserved {
                 continue;
             }
             if self.manners.greets {
-                let load = self.load();
-                self.say(id, &load);
+                let load = self.load_message();
+                self.send(id, &load);
             }
-            for tag in std::mem::take(&mut self.repeats) {
-                self.say(id, &release(&tag));
+            for tag in std::mem::take(&mut self.releases_to_repeat) {
+                self.send(id, &release_message(&tag));
             }
         }
     }
 
-    fn read(&mut self) {
+    fn read_messages(&mut self) {
         let mut lines = Vec::new();
         let (process, closes) = (self.process, self.manners.closes);
         self.connections.retain_mut(|c| {
@@ -432,11 +436,11 @@
             loop {
                 match c.stream.read(&mut chunk) {
                     Ok(0) => {
-                        c.is_closed = true;
+                        c.peer_closed = true;
                         return !closes;
                     }
                     Ok(n) => {
-                        c.active = Instant::now();
+                        c.last_active = Instant::now();
                         c.input.extend_from_slice(&chunk[..n]);
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -449,19 +453,19 @@
             }
             true
         });
-        for (connection, line) in lines {
-            let message = Message::parse(&line).expect("the controller writes messages");
-            self.message(connection, message);
+        for (connection_id, line) in lines {
+            let message = Message::parse(&line).expect("the controller sends valid messages");
+            self.handle_message(connection_id, message);
         }
     }
 
-    fn treat_idle(&mut self) {
-        let Some((after, habit)) = self.manners.idle else {
+    fn apply_idle_policy(&mut self) {
+        let Some((idle_timeout, habit)) = self.manners.idle else {
             return;
         };
         let process = self.process;
         self.connections.retain_mut(|c| {
-            if c.process != process || c.active.elapsed() < after {
+            if c.process != process || c.last_active.elapsed() < idle_timeout {
                 return true;
             }
             match habit {
@@ -470,124 +474,130 @@
                     let _ = SockRef::from(&c.stream).set_linger(Some(Duration::ZERO));
                     return false;
                 }
-                IdleHabit::Forgets => c.process = DEAD,
+                IdleHabit::Forgets => c.process = UNSERVED_PROCESS,
             }
             true
         });
     }
 
-    fn message(&mut self, connection: u64, message: Message) {
+    fn handle_message(&mut self, connection_id: u64, message: Message) {
         let now = Instant::now();
         match message.verb.as_str() {
             "START" => {
                 self.set_ups.push((now, message.tag.clone()));
-                // A call that comes again is another; a release of the one before would be taken for its own.
-                self.repeats.retain(|tag| *tag != message.tag);
-                if !self.manners.answers {
+                // A second set-up with the same id is a new call. A repeated release of the earlier call would be taken
+                // for a release of the new one.
+                self.releases_to_repeat.retain(|tag| *tag != message.tag);
+                if !self.manners.answers_set_ups {
                     return;
                 }
-                let hold = self.manners.hold.map(|mean| {
-                    let longer = -self.random.f64().max(1e-6).ln();
-                    mean.mul_f64(longer.clamp(0.05, 3.0))
+                let hold = self.manners.mean_hold.map(|mean| {
+                    let exponential = -self.rng.f64().max(1e-6).ln();
+                    mean.mul_f64(exponential.clamp(0.05, 3.0))
                 });
-                let record = Record {
-                    stood: now,
-                    over: None,
+                let record = CallRecord {
+                    answered_at: now,
+                    ended_at: None,
                     released: None,
-                    cut: false,
+                    released_by_controller: false,
                     process: self.process,
-                    connection,
-                    ends: hold.map(|h| now + h),
+                    connection_id,
+                    scheduled_end: hold.map(|h| now + h),
                 };
                 self.calls.insert(message.tag.clone(), record);
-                self.answer(connection, &message.tag);
-                self.report();
+                self.answer_set_up(connection_id, &message.tag);
+                self.report_load();
             }
             "FINISH" => {
                 let process = self.process;
                 let known = self.calls.get_mut(&message.tag).filter(|c| c.process == process);
-                if let Some(call) = known.filter(|c| c.over.is_none()) {
-                    (call.over, call.cut) = (Some(now), true);
-                    self.report();
+                if let Some(call) = known.filter(|c| c.ended_at.is_none()) {
+                    (call.ended_at, call.released_by_controller) = (Some(now), true);
+                    self.report_load();
                 }
             }
             _ => {}
         }
     }
 
-    /// Answers a set-up, as well as this exchange does.
-    fn answer(&mut self, connection: u64, tag: &str) {
+    /// Answers a set-up. The answer may be lost, malformed or duplicated.
+    fn answer_set_up(&mut self, connection_id: u64, tag: &str) {
         let port = self.port;
         let answer = format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"{port}"}}"#);
-        let (manners, drawn) = (self.manners, self.random.u8(0..100));
-        if drawn < manners.lost_answers {
+        let (manners, drawn_percent) = (self.manners, self.rng.u8(0..100));
+        if drawn_percent < manners.lost_answer_percent {
             return;
         }
-        if drawn < manners.lost_answers + manners.spoilt_answers {
-            return self.say(connection, &answer.replace(':', "#"));
+        if drawn_percent < manners.lost_answer_percent + manners.malformed_answer_percent {
+            return self.send(connection_id, &answer.replace(':', "#"));
         }
-        self.say(connection, &answer);
-        if drawn >= 100 - manners.doubled_answers {
-            self.say(connection, &answer);
+        self.send(connection_id, &answer);
+        if drawn_percent >= 100 - manners.duplicated_answer_percent {
+            self.send(connection_id, &answer);
         }
     }
 
     fn end_calls(&mut self) {
         let now = Instant::now();
-        let due = |c: &Record| c.over.is_none() && c.ends.is_some_and(|e| e <= now);
-        let ended: Vec<_> = self.calls.iter().filter(|(_, c)| due(c)).map(|(t, _)| t.clone()).collect();
+        let is_due = |c: &CallRecord| c.ended_at.is_none() && c.scheduled_end.is_some_and(|e| e <= now);
+        let ended: Vec<_> =
+            self.calls.iter().filter(|(_, c)| is_due(c)).map(|(t, _)| t.clone()).collect();
         for tag in &ended {
             if let Some(call) = self.calls.get_mut(tag) {
-                call.over = call.ends;
+                call.ended_at = call.scheduled_end;
             }
         }
         if self.mode != Mode::Serving {
             return;
         }
         let process = self.process;
-        let unsaid =
-            |c: &Record| c.process == process && c.over.is_some() && c.released.is_none() && !c.cut;
-        let unsaid: Vec<_> =
-            self.calls.iter().filter(|(_, c)| unsaid(c)).map(|(t, _)| t.clone()).collect();
-        for tag in &unsaid {
-            self.say_release(tag);
+        let is_unreleased = |c: &CallRecord| {
+            c.process == process
+                && c.ended_at.is_some()
+                && c.released.is_none()
+                && !c.released_by_controller
+        };
+        let unreleased: Vec<_> =
+            self.calls.iter().filter(|(_, c)| is_unreleased(c)).map(|(t, _)| t.clone()).collect();
+        for tag in &unreleased {
+            self.send_release(tag);
         }
-        if !unsaid.is_empty() {
-            self.report();
+        if !unreleased.is_empty() {
+            self.report_load();
         }
     }
 
-    /// Says that a call has ended: on the connection of its set-up, else on any.
-    fn say_release(&mut self, tag: &str) {
+    /// Sends the release of a call on the connection of its set-up, or on any other connection if that one is gone.
+    fn send_release(&mut self, tag: &str) {
         let Some(call) = self.calls.get(tag) else {
             return;
         };
         let (process, insists) = (self.process, self.manners.insists);
         let own = self.connections.iter().filter(|c| c.process == process);
-        let open = own.filter(|c| !c.is_closed || insists && c.id == call.connection);
-        let Some(on) = open.max_by_key(|c| c.id == call.connection).map(|c| c.id) else {
+        let open = own.filter(|c| !c.peer_closed || insists && c.id == call.connection_id);
+        let Some(connection_id) = open.max_by_key(|c| c.id == call.connection_id).map(|c| c.id) else {
             return;
         };
-        self.say(on, &release(tag));
-        self.repeats.push(tag.to_owned());
+        self.send(connection_id, &release_message(tag));
+        self.releases_to_repeat.push(tag.to_owned());
         if let Some(call) = self.calls.get_mut(tag) {
             call.released = Some(Instant::now());
         }
     }
 
-    /// States the trunk group on all connections of the process.
-    fn report(&mut self) {
+    /// Reports the load of the trunk group on all connections of the process.
+    fn report_load(&mut self) {
         if self.manners.reports {
-            let (load, process) = (self.load(), self.process);
+            let (load, process) = (self.load_message(), self.process);
             let open: Vec<_> =
                 self.connections.iter().filter(|c| c.process == process).map(|c| c.id).collect();
-            open.into_iter().for_each(|id| self.say(id, &load));
+            open.into_iter().for_each(|id| self.send(id, &load));
         }
     }
 
-    fn say(&mut self, connection: u64, line: &str) {
-        if let Some(c) = self.connections.iter_mut().find(|c| c.id == connection) {
-            c.active = Instant::now();
+    fn send(&mut self, connection_id: u64, line: &str) {
+        if let Some(c) = self.connections.iter_mut().find(|c| c.id == connection_id) {
+            c.last_active = Instant::now();
             let _ = c.stream.write_all(format!("{line}\n").as_bytes());
         }
     }
--- a/trials/src/journal.rs
+++ b/trials/src/journal.rs
@@ -1,4 +1,4 @@
-//! A journal service that can be down or silent.
+//! A fake journal service that can be down or silent.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,80 +7,80 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const HEARTBEAT: Duration = Duration::from_secs(1);
-const STEP: Duration = Duration::from_millis(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What the service does.
+/// How the service treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It works.
+    /// The service sends events and heartbeats.
     Up,
-    /// Connections stay open, and nothing comes.
+    /// Connections stay open, and the service sends nothing.
     Silent,
-    /// Connections are closed as soon as they are there.
+    /// The service closes its open connections, and each new one as soon as it has accepted it.
     Down,
 }
 
 struct State {
     health: Health,
-    /// Events from number 2 on.
+    /// The events from position 2 on. Position 1 is the list in the daemon's configuration.
     events: Vec<String>,
-    /// Each connection, and the number of the last event that was sent on it.
-    streams: Vec<(TcpStream, usize)>,
+    /// Each connection, with the position of the last event that was sent on it.
+    connections: Vec<(TcpStream, usize)>,
     last_heartbeat: Instant,
 }
 
-/// The service, which ends with the trial.
-pub struct Journal {
-    /// Where it listens.
+/// The service. It ends when it is dropped.
+pub struct FaultyJournal {
+    /// The address that the service listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Journal {
+impl FaultyJournal {
     /// Starts a service that works.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.set_nonblocking(true).expect("an option");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        listener.set_nonblocking(true).expect("O_NONBLOCK can be set");
+        let addr = listener.local_addr().expect("the listener has an address");
         let state = State {
             health: Health::Up,
             events: Vec::new(),
-            streams: Vec::new(),
+            connections: Vec::new(),
             last_heartbeat: Instant::now(),
         };
-        let (state, over) = (Arc::new(Mutex::new(state)), Arc::new(AtomicBool::new(false)));
-        let (shared, ended) = (Arc::clone(&state), Arc::clone(&over));
+        let (state, stopping) = (Arc::new(Mutex::new(state)), Arc::new(AtomicBool::new(false)));
+        let (thread_state, thread_stopping) = (Arc::clone(&state), Arc::clone(&stopping));
         let thread = std::thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
-                shared.lock().expect("no panic").step(&listener);
-                std::thread::sleep(STEP);
+            while !thread_stopping.load(Ordering::Relaxed) {
+                thread_state.lock().expect("no thread panicked while holding the lock").poll(&listener);
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
-        Journal { addr, state, over, thread: Some(thread) }
+        FaultyJournal { addr, state, stopping, thread: Some(thread) }
     }
 
-    /// Changes what the service does.
-    pub fn set(&self, health: Health) {
-        self.state.lock().expect("no panic").health = health;
+    /// Changes how the service treats its connections.
+    pub fn set_health(&self, health: Health) {
+        self.state.lock().expect("no thread panicked while holding the lock").health = health;
     }
 
-    /// The number of the next event.
-    pub fn next_event(&self) -> usize {
-        self.state.lock().expect("no panic").events.len() + 2
+    /// The position of the next event.
+    pub fn next_position(&self) -> usize {
+        self.state.lock().expect("no thread panicked while holding the lock").events.len() + 2
     }
 
-    /// Adds an event.
-    pub fn add(&self, event: String) {
-        self.state.lock().expect("no panic").events.push(event);
+    /// Adds an event, which the service sends on all its connections.
+    pub fn add_event(&self, event: String) {
+        self.state.lock().expect("no thread panicked while holding the lock").events.push(event);
     }
 }
 
-impl Drop for Journal {
+impl Drop for FaultyJournal {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -88,27 +88,28 @@
 }
 
 impl State {
-    fn step(&mut self, listener: &TcpListener) {
+    fn poll(&mut self, listener: &TcpListener) {
         match self.health {
             Health::Silent => return,
-            Health::Down => self.streams.clear(),
+            Health::Down => self.connections.clear(),
             Health::Up => {}
         }
         while let Ok((stream, _)) = listener.accept() {
             if self.health == Health::Up {
-                self.streams.push((stream, 1));
+                self.connections.push((stream, 1));
             }
         }
-        let beat = self.last_heartbeat.elapsed() >= HEARTBEAT;
-        if beat {
+        let heartbeat_due = self.last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL;
+        if heartbeat_due {
             self.last_heartbeat = Instant::now();
         }
         let events = &self.events;
-        self.streams.retain_mut(|(stream, sent)| {
-            let mut text: String = events.iter().skip(*sent - 1).map(|e| format!("{e}\n")).collect();
-            *sent = events.len() + 1;
-            if beat {
-                text.push_str(&format!("{{\"pos\":{sent}}}\n"));
+        self.connections.retain_mut(|(stream, last_sent)| {
+            let mut text: String =
+                events.iter().skip(*last_sent - 1).map(|e| format!("{e}\n")).collect();
+            *last_sent = events.len() + 1;
+            if heartbeat_due {
+                text.push_str(&format!("{{\"pos\":{last_sent}}}\n"));
             }
             text.is_empty() || stream.write_all(text.as_bytes()).is_ok()
         });
--- a/trials/src/load.rs
+++ b/trials/src/load.rs
@@ -1,110 +1,114 @@
-//! One caller's share of the load: set-ups whole or in pieces, given up early, tried again at once, and calls released.
+//! A load generator for one caller: it sends set-ups, some of them in two parts, cancels some set-ups and releases some
+//! calls early.
 
-use crate::caller::{Caller, Told};
+use crate::caller::{Caller, ReceivedMessage};
 use fastrand::Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::plan::EXCHANGES;
+use crate::plan::EXCHANGE_COUNT;
 
-/// A caller keeps so many calls in mind, to release them.
-const REMEMBERED: usize = 8;
-/// A caller's connection has to be used for long before another is opened, where it is closed on.
-const RECONNECT: Duration = Duration::from_millis(30);
+/// A caller picks the calls that it releases or cancels from this many of its latest set-ups.
+const MAX_RECENT_CALLS: usize = 8;
+/// Pause before a caller opens a connection. It limits the rate of reconnects if the controller closes each
+/// connection at once.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 
-/// One set-up as its caller knows it.
+/// A set-up, as its caller recorded it.
 #[derive(Clone, Debug)]
-pub struct SetUp {
-    /// Its id.
+pub struct SentSetUp {
+    /// The call's id.
     pub tag: String,
-    /// When its last byte was written.
+    /// When the last byte was written.
     pub at: Instant,
-    /// How long its caller waits.
-    pub left: Duration,
-    /// When the caller gave it up, or released the call.
-    pub finished: Option<Instant>,
-    /// The connection that it went on.
-    pub connection: usize,
+    /// How long the caller waits for an answer.
+    pub time_left: Duration,
+    /// When the caller cancelled the set-up or released the call.
+    pub finished_at: Option<Instant>,
+    /// The index of the caller's connection that the set-up was sent on.
+    pub connection_index: usize,
 }
 
-/// All that one caller has done and was told.
+/// What one caller recorded.
 #[derive(Debug, Default)]
-pub struct History {
-    /// Its set-ups.
-    pub set_ups: Vec<SetUp>,
-    /// What it was told on each connection.
-    pub told: Vec<Vec<Told>>,
-    /// When each connection was closed on it.
-    pub closed: Vec<Option<Instant>>,
+pub struct CallerRecord {
+    /// The set-ups that it sent.
+    pub set_ups: Vec<SentSetUp>,
+    /// The messages that it received on each connection.
+    pub received: Vec<Vec<ReceivedMessage>>,
+    /// When the controller closed each connection.
+    pub closed_at: Vec<Option<Instant>>,
 }
 
-/// One caller.
-pub struct Load {
-    /// Where the controller listens.
+/// The load generator of one caller.
+pub struct LoadGenerator {
+    /// The address that the controller listens on.
     pub addr: SocketAddr,
-    /// Tells callers apart, and draws what this one does.
+    /// The number of the caller. It is part of the ids of its calls and of the seed of its random choices.
     pub number: u64,
     /// The seed of the trial.
     pub seed: u64,
-    /// The longest that it waits.
+    /// The longest time that the caller waits for an answer.
     pub deadline: Duration,
 }
 
-impl Load {
-    /// Calls until it is told to stop, or nobody listens any more.
-    pub fn run(self, over: &AtomicBool) -> History {
-        let mut random = Rng::with_seed(self.seed.wrapping_mul(31).wrapping_add(self.number));
-        let (mut history, mut callers) = (History::default(), Vec::<Caller>::new());
-        let mut next = 0;
-        while !over.load(Ordering::Relaxed) {
-            if callers.last().is_none_or(|c| c.closed().is_some()) {
-                std::thread::sleep(RECONNECT);
-                let Some(caller) = Caller::connect(self.addr) else {
+impl LoadGenerator {
+    /// Generates load until `stop` is set, and returns what the caller recorded. Retries connection attempts that
+    /// fail.
+    pub fn run(self, stop: &AtomicBool) -> CallerRecord {
+        let mut rng = Rng::with_seed(self.seed.wrapping_mul(31).wrapping_add(self.number));
+        let (mut record, mut connections) = (CallerRecord::default(), Vec::<Caller>::new());
+        let mut sequence = 0;
+        while !stop.load(Ordering::Relaxed) {
+            if connections.last().is_none_or(|c| c.closed_at().is_some()) {
+                std::thread::sleep(RECONNECT_DELAY);
+                let Some(connection) = Caller::connect(self.addr) else {
                     continue;
                 };
-                callers.push(caller);
+                connections.push(connection);
             }
-            next += 1;
-            let tag = format!("{:08x}{next:08x}", self.seed as u32 ^ (self.number as u32) << 24);
-            let connection = callers.len() - 1;
-            if let Some(caller) = callers.last_mut() {
-                self.step(&tag, connection, caller, &mut history, &mut random);
+            sequence += 1;
+            let tag = format!("{:08x}{sequence:08x}", self.seed as u32 ^ (self.number as u32) << 24);
+            let connection_index = connections.len() - 1;
+            if let Some(connection) = connections.last_mut() {
+                self.step(&tag, connection_index, connection, &mut record, &mut rng);
             }
-            std::thread::sleep(Duration::from_millis(random.u64(15..90)));
+            std::thread::sleep(Duration::from_millis(rng.u64(15..90)));
         }
-        // What is still on its way is waited for by whoever ends the trial.
-        history.told = callers.iter().map(Caller::told).collect();
-        history.closed = callers.iter().map(Caller::closed).collect();
-        history
+        // The trial sets `stop` only after it has waited for the messages that were still in flight.
+        record.received = connections.iter().map(Caller::received).collect();
+        record.closed_at = connections.iter().map(Caller::closed_at).collect();
+        record
     }
 
+    /// Releases or cancels a recent call, or sends a set-up with this tag.
     fn step(
         &self,
         tag: &str,
-        connection: usize,
-        caller: &mut Caller,
-        history: &mut History,
-        r: &mut Rng,
+        connection_index: usize,
+        connection: &mut Caller,
+        record: &mut CallerRecord,
+        rng: &mut Rng,
     ) {
-        if r.u8(0..12) == 0 {
-            let open = history.set_ups.iter_mut().rev().take(REMEMBERED);
-            let mut open: Vec<_> = open.filter(|s| s.finished.is_none()).collect();
-            if !open.is_empty() {
-                let chosen = r.usize(0..open.len());
-                if caller.finish(&open[chosen].tag) {
-                    open[chosen].finished = Some(Instant::now());
+        if rng.u8(0..12) == 0 {
+            let recent = record.set_ups.iter_mut().rev().take(MAX_RECENT_CALLS);
+            let mut unfinished: Vec<_> = recent.filter(|s| s.finished_at.is_none()).collect();
+            if !unfinished.is_empty() {
+                let chosen = rng.usize(0..unfinished.len());
+                if connection.finish(&unfinished[chosen].tag) {
+                    unfinished[chosen].finished_at = Some(Instant::now());
                 }
                 return;
             }
         }
-        let least = (self.deadline / 3).as_millis() as u64;
-        let left = Duration::from_millis(r.u64(least..=self.deadline.as_millis() as u64));
-        let dest = r.u32(1..=EXCHANGES as u32);
-        let pause = if r.u8(0..10) == 0 { r.u64(5..60) } else { 0 };
-        if caller.set_up_in_pieces(tag, left, dest, Duration::from_millis(pause)) {
+        let min_ms = (self.deadline / 3).as_millis() as u64;
+        let time_left = Duration::from_millis(rng.u64(min_ms..=self.deadline.as_millis() as u64));
+        let dest = rng.u32(1..=EXCHANGE_COUNT as u32);
+        let pause_ms = if rng.u8(0..10) == 0 { rng.u64(5..60) } else { 0 };
+        if connection.set_up_in_two_parts(tag, time_left, dest, Duration::from_millis(pause_ms)) {
             let (tag, at) = (tag.to_owned(), Instant::now());
-            history.set_ups.push(SetUp { tag, at, left, finished: None, connection });
+            record.set_ups.push(SentSetUp { tag, at, time_left, finished_at: None, connection_index });
         }
     }
 }
--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the trials of a range of seeds and reports each one.
+//! Runs the trials of a range of seeds and prints a report of each one.
 
 use clap::Parser;
 use slateshed_trials::trial::{run, Outcome};
@@ -7,53 +7,53 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Plays seeded trials of the slateshed daemon: exchanges, callers and a journal service that fail.
+/// Runs seeded trials of the slateshed daemon against exchanges, callers and a journal service that fail.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds.
+    /// The number of seeds.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// Trials at a time.
+    /// The number of trials that run at the same time.
     #[arg(long, default_value_t = 8)]
     jobs: usize,
-    /// The daemon.
+    /// The path of the daemon's executable.
     #[arg(long, default_value = "target/release/slateshed")]
     program: PathBuf,
-    /// Print the plan and the daemon's log of each trial in which a rule was broken.
+    /// Print the fault plan and the daemon's log of each trial that violates a rule.
     #[arg(long)]
     verbose: bool,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let (next, until) = (AtomicU64::new(arguments.first), arguments.first + arguments.seeds);
-    let broken = Mutex::new(Vec::new());
+    let (next_seed, end_seed) = (AtomicU64::new(arguments.first), arguments.first + arguments.seeds);
+    let failed_seeds = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..arguments.jobs.max(1) {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= until {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                if seed >= end_seed {
                     return;
                 }
                 let outcome = run(seed, &arguments.program);
                 report(&outcome, arguments.verbose);
                 if !outcome.breaches.is_empty() {
-                    broken.lock().expect("no panic").push(seed);
+                    failed_seeds.lock().expect("no thread panicked while holding the lock").push(seed);
                 }
             });
         }
     });
-    let mut broken = broken.into_inner().expect("no panic");
-    broken.sort_unstable();
-    println!("{} passed, {} failed", arguments.seeds - broken.len() as u64, broken.len());
-    if broken.is_empty() {
+    let mut failed_seeds = failed_seeds.into_inner().expect("no thread panicked while holding the lock");
+    failed_seeds.sort_unstable();
+    println!("{} passed, {} failed", arguments.seeds - failed_seeds.len() as u64, failed_seeds.len());
+    if failed_seeds.is_empty() {
         return ExitCode::SUCCESS;
     }
-    println!("seeds with broken rules: {broken:?}");
+    println!("seeds with broken rules: {failed_seeds:?}");
     ExitCode::FAILURE
 }
 
@@ -64,12 +64,12 @@
         plan.seed,
         counts.set_ups,
         counts.stood,
-        counts.told,
+        counts.ends_reported,
         counts.lost,
         outcome.breaches.len()
     );
-    for breach in outcome.breaches.iter().take(5) {
-        text.push_str(&format!("  {breach}\n"));
+    for violation in outcome.breaches.iter().take(5) {
+        text.push_str(&format!("  {violation}\n"));
     }
     if verbose && !outcome.breaches.is_empty() {
         text.push_str(&format!("{plan:#?}\n{}\n", outcome.log.join("\n")));
--- a/trials/src/plan.rs
+++ b/trials/src/plan.rs
@@ -1,69 +1,71 @@
-//! What goes wrong in a trial, drawn from its seed.
+//! The fault plan of a trial, drawn from its seed.
 
 use crate::exchange::{IdleHabit, Manners};
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Exchanges besides the controller's own.
-pub const EXCHANGES: usize = 3;
-/// Faults begin after this time, once calls stand, and before the other.
-const FAULTS_FROM: u64 = 1500;
-const FAULTS_UNTIL: u64 = 5000;
-/// The planned stop of a trial that is played to its end: every call that was over by then has been told of.
-const FULL_LENGTH: u64 = 14_500;
+/// Number of fake exchanges, in the cells from 1 on. Cell 0 is the controller's own exchange; its entry in the list has
+/// the address of the first fake exchange.
+pub const EXCHANGE_COUNT: usize = 3;
+/// The first fault of each exchange is drawn from between these two times. Calls are established by the earlier one.
+const FIRST_FAULT_FROM_MS: u64 = 1500;
+const FIRST_FAULT_UNTIL_MS: u64 = 5000;
+/// The time of the planned stop in a trial that runs its full length. By then, the controller has had time to report
+/// the end of every call that a fault ended.
+const FULL_LENGTH_MS: u64 = 14_500;
 
-/// One thing that goes wrong, or is mended.
+/// A fault that a trial injects, or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The machine of an exchange vanishes.
-    Vanish(usize),
-    /// A new process serves at the address of one that vanished.
-    Replace(usize),
-    /// The way to an exchange is cut.
-    CutOff(usize),
-    /// The process of an exchange stands still.
+    /// The host of an exchange fails: its calls end, and its connections stay half-open.
+    LoseHost(usize),
+    /// A new process serves at the address of an exchange whose host failed.
+    ReplaceHost(usize),
+    /// The network path to an exchange is cut; its process and its calls continue.
+    Partition(usize),
+    /// The process of an exchange hangs.
     Hang(usize),
-    /// The way is there again, or the process goes on.
-    GoOn(usize),
-    /// The process of an exchange dies.
+    /// The network path to an exchange is restored, or its hung process resumes.
+    Recover(usize),
+    /// The process of an exchange crashes.
     Crash(usize),
-    /// And is started again.
+    /// The crashed process of an exchange is started again.
     Restart(usize),
     /// All connections to an exchange are reset.
-    Reset(usize),
-    /// The list says that an exchange drains.
+    ResetConnections(usize),
+    /// The list announces that an exchange drains.
     Drain(usize),
-    /// The journal service takes no connections any more, and its open ones are closed.
+    /// The journal service closes its open connections and every new one.
     JournalDown,
-    /// It says nothing any more.
+    /// The journal service keeps its connections open and sends nothing.
     JournalSilent,
-    /// It works again.
+    /// The journal service works again.
     JournalUp,
-    /// The controller is told to read its configuration again.
+    /// The controller receives SIGHUP, which makes it read its configuration again.
     Reload,
 }
 
-/// A trial.
+/// The plan of a trial.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
-    /// File descriptors that the controller may hold.
-    pub descriptors: u32,
-    /// The longest that a caller waits.
+    /// The number of file descriptors that the controller may use.
+    pub max_descriptors: u32,
+    /// The longest time that a caller waits for an answer.
     pub deadline: Duration,
-    /// How each exchange behaves.
-    pub manners: Vec<Manners>,
-    /// Connections of callers in use.
-    pub callers: usize,
-    /// Connections that never say anything.
-    pub crowd: usize,
-    /// What goes wrong, and when.
+    /// The behavior of each exchange.
+    pub exchange_behaviors: Vec<Manners>,
+    /// The number of callers that generate load, each on one connection at a time.
+    pub caller_count: usize,
+    /// The number of client connections that stay idle throughout the trial.
+    pub idle_connection_count: usize,
+    /// The faults, each with the time of its injection.
     pub faults: Vec<(Duration, Fault)>,
-    /// When the controller is asked to stop, and whether that is said several times.
+    /// When the controller is signalled to stop.
     pub stop_at: Duration,
-    /// Further signals in the course of the stop.
-    pub signals_in_series: bool,
+    /// Whether the controller receives further signals while it stops.
+    pub has_extra_stop_signals: bool,
 }
 
 fn ms(n: u64) -> Duration {
@@ -71,47 +73,49 @@
 }
 
 impl Plan {
-    /// Draws a trial.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Self {
-        let mut random = Rng::with_seed(seed);
-        let r = &mut random;
-        let manners = (0..EXCHANGES).map(|_| manners(r)).collect();
-        let mut faults: Vec<_> = (0..EXCHANGES).flat_map(|i| story(i, r)).collect();
-        faults.extend(journal(r));
-        if r.bool() {
-            faults.extend((0..r.u64(1..4)).map(|n| (ms(3000 + n * 70), Fault::Reload)));
+        let mut generator = Rng::with_seed(seed);
+        let rng = &mut generator;
+        let exchange_behaviors = (0..EXCHANGE_COUNT).map(|_| draw_behavior(rng)).collect();
+        let mut faults: Vec<_> =
+            (0..EXCHANGE_COUNT).flat_map(|i| draw_exchange_faults(i, rng)).collect();
+        faults.extend(draw_journal_faults(rng));
+        if rng.bool() {
+            faults.extend((0..rng.u64(1..4)).map(|n| (ms(3000 + n * 70), Fault::Reload)));
         }
         faults.sort_by_key(|(at, _)| *at);
-        let stop_at = if r.u8(0..3) == 0 { r.u64(4000..11_000) } else { FULL_LENGTH };
+        let stop_at = if rng.u8(0..3) == 0 { rng.u64(4000..11_000) } else { FULL_LENGTH_MS };
         Plan {
             seed,
-            descriptors: *pick(r, &[127, 256, 1024]),
-            deadline: ms(*pick(r, &[400, 1000, 3000, 9000])),
-            manners,
-            callers: r.usize(2..5),
-            crowd: if r.u8(0..4) == 0 { r.usize(40..120) } else { 0 },
+            max_descriptors: *pick(rng, &[127, 256, 1024]),
+            deadline: ms(*pick(rng, &[400, 1000, 3000, 9000])),
+            exchange_behaviors,
+            caller_count: rng.usize(2..5),
+            idle_connection_count: if rng.u8(0..4) == 0 { rng.usize(40..120) } else { 0 },
             faults,
             stop_at: ms(stop_at),
-            signals_in_series: r.bool(),
+            has_extra_stop_signals: rng.bool(),
         }
     }
 }
 
-fn pick<'a, T>(r: &mut Rng, from: &'a [T]) -> &'a T {
-    &from[r.usize(0..from.len())]
+fn pick<'a, T>(rng: &mut Rng, from: &'a [T]) -> &'a T {
+    &from[rng.usize(0..from.len())]
 }
 
-/// Most exchanges are as the protocol has it; some keep what is closed on them, and some say nothing unasked.
-fn manners(r: &mut Rng) -> Manners {
-    let hold = Some(ms(r.u64(2000..12_000)));
+/// Draws the behavior of an exchange. Most exchanges follow the protocol. Some keep open the connections that the
+/// controller has closed, and some never send an unsolicited load report.
+fn draw_behavior(rng: &mut Rng) -> Manners {
+    let mean_hold = Some(ms(rng.u64(2000..12_000)));
     let usual = Manners {
-        hold,
-        lost_answers: *pick(r, &[0, 0, 3]),
-        spoilt_answers: *pick(r, &[0, 0, 2]),
-        doubled_answers: *pick(r, &[0, 0, 2]),
-        dead_connections: *pick(r, &[0, 0, 4]),
+        mean_hold,
+        lost_answer_percent: *pick(rng, &[0, 0, 3]),
+        malformed_answer_percent: *pick(rng, &[0, 0, 2]),
+        duplicated_answer_percent: *pick(rng, &[0, 0, 2]),
+        dead_connections: *pick(rng, &[0, 0, 4]),
         idle: *pick(
-            r,
+            rng,
             &[
                 None,
                 None,
@@ -123,38 +127,38 @@
         ),
         ..Manners::PROTOCOL
     };
-    match r.u8(0..6) {
+    match rng.u8(0..6) {
         0 => Manners { closes: false, ..usual },
         1 => Manners { reports: false, greets: false, ..usual },
         _ => usual,
     }
 }
 
-/// What happens to one exchange.
-fn story(i: usize, r: &mut Rng) -> Vec<(Duration, Fault)> {
-    let at = r.u64(FAULTS_FROM..FAULTS_UNTIL);
-    match r.u8(0..10) {
-        0 | 1 => vec![(ms(at), Fault::Vanish(i))],
+/// Draws the fault of one exchange, and the recovery from it if there is one.
+fn draw_exchange_faults(i: usize, rng: &mut Rng) -> Vec<(Duration, Fault)> {
+    let at = rng.u64(FIRST_FAULT_FROM_MS..FIRST_FAULT_UNTIL_MS);
+    match rng.u8(0..10) {
+        0 | 1 => vec![(ms(at), Fault::LoseHost(i))],
         2 | 3 => {
-            let again = at + r.u64(800..7000);
-            vec![(ms(at), Fault::Vanish(i)), (ms(again), Fault::Replace(i))]
+            let replaced_at = at + rng.u64(800..7000);
+            vec![(ms(at), Fault::LoseHost(i)), (ms(replaced_at), Fault::ReplaceHost(i))]
         }
-        4 => vec![(ms(at), Fault::CutOff(i)), (ms(at + r.u64(500..4500)), Fault::GoOn(i))],
-        5 => vec![(ms(at), Fault::Hang(i)), (ms(at + r.u64(500..4500)), Fault::GoOn(i))],
+        4 => vec![(ms(at), Fault::Partition(i)), (ms(at + rng.u64(500..4500)), Fault::Recover(i))],
+        5 => vec![(ms(at), Fault::Hang(i)), (ms(at + rng.u64(500..4500)), Fault::Recover(i))],
         6 => vec![(ms(at), Fault::Hang(i))],
-        7 => vec![(ms(at), Fault::Crash(i)), (ms(at + r.u64(0..3000)), Fault::Restart(i))],
-        8 => (0..r.u64(1..4)).map(|n| (ms(at + n * 1500), Fault::Reset(i))).collect(),
+        7 => vec![(ms(at), Fault::Crash(i)), (ms(at + rng.u64(0..3000)), Fault::Restart(i))],
+        8 => (0..rng.u64(1..4)).map(|n| (ms(at + n * 1500), Fault::ResetConnections(i))).collect(),
         _ => vec![(ms(at), Fault::Drain(i))],
     }
 }
 
-/// What happens to the journal service.
-fn journal(r: &mut Rng) -> Vec<(Duration, Fault)> {
-    let (from, to) = (ms(r.u64(500..3000)), ms(r.u64(7000..14_000)));
-    let broken = if r.bool() { Fault::JournalDown } else { Fault::JournalSilent };
-    match r.u8(0..3) {
+/// Draws the fault of the journal service, if any, and the recovery from it if there is one.
+fn draw_journal_faults(rng: &mut Rng) -> Vec<(Duration, Fault)> {
+    let (from, to) = (ms(rng.u64(500..3000)), ms(rng.u64(7000..14_000)));
+    let fault = if rng.bool() { Fault::JournalDown } else { Fault::JournalSilent };
+    match rng.u8(0..3) {
         0 => Vec::new(),
-        1 => vec![(from, broken)],
-        _ => vec![(from, broken), (to, Fault::JournalUp)],
+        1 => vec![(from, fault)],
+        _ => vec![(from, fault), (to, Fault::JournalUp)],
     }
 }
--- a/trials/src/rules.rs
+++ b/trials/src/rules.rs
@@ -1,194 +1,218 @@
-//! The rules that have to hold in a trial, checked on what the callers and the exchanges have noted.
+//! The rules that have to hold in every trial, checked against what the callers and the exchanges recorded.
 
-use crate::caller::Told;
-use crate::exchange::{Outage, Record};
-use crate::load::{History, SetUp};
+use crate::caller::ReceivedMessage;
+use crate::exchange::{CallRecord, Outage};
+use crate::load::{CallerRecord, SentSetUp};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Beyond its caller's time, an answer may be this late before the call is lost.
-const ANSWER_SLACK: Duration = Duration::from_millis(550);
-/// A set-up that crosses the close of its connection by this much goes again.
-const CROSSING: Duration = Duration::from_millis(50);
-/// A release that arrives is passed on within this time; without one, the end of a call is told within the other.
-const PASSED_ON: Duration = Duration::from_millis(1050);
-const TOLD: Duration = Duration::from_millis(8050);
-/// A release that the exchange could send this late after the end is one too late to wait for.
-const RELEASED_IN_TIME: Duration = Duration::from_millis(7000);
-/// An exchange that did not serve for less than this keeps its calls. What is known of it may be some seconds old when
-/// that begins.
-const KEPT_FOR: Duration = Duration::from_millis(3500);
-/// What speaks against the life of an exchange is at most this old when its calls are lost.
-const LOST_AFTER: Duration = Duration::from_secs(9);
-/// Ends of a call that are seen at both sides at about the same time.
-const ABOUT: Duration = Duration::from_millis(100);
+/// An answer may come at most this long after its caller's deadline. After that, the call counts as lost.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(550);
+/// A set-up needs no answer if its connection closes, or the controller ends, at most this long after it was sent: the
+/// controller may not have received it, and its caller sends it again.
+const MAX_CLOSE_RACE_DELAY: Duration = Duration::from_millis(50);
+/// The controller forwards a release to the caller within this time after the exchange sent it.
+const MAX_RELEASE_FORWARD_DELAY: Duration = Duration::from_millis(1050);
+/// If the exchange sends no release, the controller reports the end of the call within this time after that end.
+const MAX_END_REPORT_DELAY: Duration = Duration::from_millis(8050);
+/// A release that the exchange sends more than this long after the end of the call counts as not sent: the controller
+/// need not wait for it.
+const MAX_RELEASE_SEND_DELAY: Duration = Duration::from_millis(7000);
+/// The controller must keep the calls of an exchange whose outage is shorter than this. Its latest information about
+/// the exchange may already be some seconds old when the outage begins.
+const MIN_EXCUSING_OUTAGE_TIME: Duration = Duration::from_millis(3500);
+/// When the controller declares an exchange dead, the failure signs against it are at most this old.
+const MAX_FAILURE_SIGN_AGE: Duration = Duration::from_secs(9);
+/// If both sides end a call at about the same time, their records of the end may differ by this much.
+const END_TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// One breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
-pub struct Breach {
-    /// The call.
+pub struct Violation {
+    /// The id of the call.
     pub tag: String,
     /// What was wrong.
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.tag, self.what)
+        write!(f, "{}: {}", self.tag, self.description)
     }
 }
 
-/// What one exchange has noted.
-pub struct Witness {
-    /// The port that its answers name.
+/// What one exchange recorded.
+pub struct ExchangeRecord {
+    /// The port, which identifies the exchange in its answers.
     pub port: u16,
-    /// Its calls.
-    pub calls: HashMap<String, Record>,
+    /// Its calls, by id.
+    pub calls: HashMap<String, CallRecord>,
     /// When it did not serve.
     pub outages: Vec<Outage>,
-    /// All its connections were reset while it lived: it may look as if it had died.
+    /// Whether all its connections were reset while its process lived. To the controller, the process
+    /// may seem to have crashed.
     pub was_reset: bool,
 }
 
-/// What a trial has left to be checked.
-pub struct Evidence {
-    /// What the callers have noted.
-    pub histories: Vec<History>,
-    /// What the exchanges have noted.
-    pub witnesses: Vec<Witness>,
+/// What a trial recorded, for the rules to be checked against.
+pub struct TrialRecord {
+    /// What the callers recorded.
+    pub callers: Vec<CallerRecord>,
+    /// What the exchanges recorded.
+    pub exchanges: Vec<ExchangeRecord>,
     /// When the trial began.
-    pub begun: Instant,
-    /// When the controller was asked to stop.
-    pub stopped: Instant,
+    pub started_at: Instant,
+    /// When the controller was signalled to stop.
+    pub stop_signalled_at: Instant,
     /// When the controller had ended.
-    pub ended: Instant,
+    pub ended_at: Instant,
 }
 
-/// Figures of a trial.
+/// Counts of a trial, for its report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Set-ups sent.
+    /// Set-ups that were sent.
     pub set_ups: usize,
-    /// Of these, calls that stood.
+    /// Of these, set-ups that led to an established call.
     pub stood: usize,
-    /// Of these, calls whose end was told.
-    pub told: usize,
-    /// Of these, told since their exchange had vanished or could not say so.
+    /// Of the established calls, those whose end the controller reported to the caller.
+    pub ends_reported: usize,
+    /// Of the established calls, those that ended at their exchange without a release sent in time, because its host
+    /// had failed or it could not send one.
     pub lost: usize,
 }
 
-impl Evidence {
-    /// Checks all rules.
-    pub fn check(&self) -> (Vec<Breach>, Counts) {
-        let (mut breaches, mut counts) = (Vec::new(), Counts::default());
-        // The end of a call may be told on any connection from its host.
-        let mut told: HashMap<&str, Vec<&Told>> = HashMap::new();
-        for t in self.histories.iter().flat_map(|h| h.told.iter().flatten()) {
-            told.entry(&t.message.tag).or_default().push(t);
+impl TrialRecord {
+    /// Checks all rules, and counts the calls.
+    pub fn check(&self) -> (Vec<Violation>, Counts) {
+        let (mut violations, mut counts) = (Vec::new(), Counts::default());
+        // The controller may report the end of a call on any connection from the caller's host.
+        let mut received: HashMap<&str, Vec<&ReceivedMessage>> = HashMap::new();
+        for m in self.callers.iter().flat_map(|c| c.received.iter().flatten()) {
+            received.entry(&m.message.tag).or_default().push(m);
         }
-        for history in &self.histories {
-            for set_up in &history.set_ups {
-                let told = told.get_mut(set_up.tag.as_str()).map(std::mem::take).unwrap_or_default();
+        for caller in &self.callers {
+            for set_up in &caller.set_ups {
+                let messages =
+                    received.get_mut(set_up.tag.as_str()).map(std::mem::take).unwrap_or_default();
                 counts.set_ups += 1;
-                let what = self.check_call(history, set_up, &told, &mut counts);
-                breaches.extend(what.map(|what| Breach { tag: set_up.tag.clone(), what }));
+                let description = self.check_call(caller, set_up, &messages, &mut counts);
+                violations.extend(
+                    description.map(|description| Violation { tag: set_up.tag.clone(), description }),
+                );
             }
         }
-        (breaches, counts)
+        (violations, counts)
     }
 
-    fn since(&self, at: Instant) -> String {
-        format!("{:.3}", at.saturating_duration_since(self.begun).as_secs_f64())
+    /// A time, in seconds since the start of the trial.
+    fn seconds_since_start(&self, at: Instant) -> String {
+        format!("{:.3}", at.saturating_duration_since(self.started_at).as_secs_f64())
     }
 
     fn check_call(
         &self,
-        history: &History,
-        set_up: &SetUp,
-        told: &[&Told],
+        caller: &CallerRecord,
+        set_up: &SentSetUp,
+        messages: &[&ReceivedMessage],
         counts: &mut Counts,
     ) -> Option<String> {
-        let mut told: Vec<_> = told.to_vec();
-        told.sort_by_key(|t| t.at);
-        let Some(answer) = told.iter().find(|t| matches!(t.message.verb.as_str(), "STARTED" | "FINISH"))
+        let mut messages: Vec<_> = messages.to_vec();
+        messages.sort_by_key(|m| m.at);
+        let Some(answer) =
+            messages.iter().find(|m| matches!(m.message.verb.as_str(), "STARTED" | "FINISH"))
         else {
-            return self.check_unanswered(history, set_up);
+            return self.check_unanswered(caller, set_up);
         };
-        if answer.at > set_up.at + set_up.left + ANSWER_SLACK {
-            return Some(format!("answered {:?} after its time", answer.at - set_up.at - set_up.left));
+        if answer.at > set_up.at + set_up.time_left + MAX_ANSWER_DELAY {
+            return Some(format!(
+                "answered {:?} after its deadline",
+                answer.at - set_up.at - set_up.time_left
+            ));
         }
-        let answers = told.iter().filter(|t| t.message.verb == "STARTED").count();
-        if answers > 1 || !answer.stands() && told.len() > 1 {
+        let started_count = messages.iter().filter(|m| m.message.verb == "STARTED").count();
+        if started_count > 1 || !answer.is_started() && messages.len() > 1 {
             return Some("a second answer".to_owned());
         }
-        if !answer.stands() {
+        if !answer.is_started() {
             return None;
         }
         counts.stood += 1;
-        let over = told.iter().find(|t| t.message.verb == "FINISH").map(|t| t.at);
-        counts.told += usize::from(over.is_some());
-        if set_up.finished.is_some() {
+        let end_reported_at = messages.iter().find(|m| m.message.verb == "FINISH").map(|m| m.at);
+        counts.ends_reported += usize::from(end_reported_at.is_some());
+        if set_up.finished_at.is_some() {
             return None;
         }
-        self.check_end(set_up, answer, over, counts)
+        self.check_end(set_up, answer, end_reported_at, counts)
     }
 
-    fn check_unanswered(&self, history: &History, set_up: &SetUp) -> Option<String> {
-        let closed = history.closed.get(set_up.connection).copied().flatten();
-        let crossed = |at: Instant| at <= set_up.at + CROSSING;
-        if set_up.finished.is_some() || closed.is_some_and(crossed) || crossed(self.ended) {
+    /// Checks a set-up that got no answer.
+    fn check_unanswered(&self, caller: &CallerRecord, set_up: &SentSetUp) -> Option<String> {
+        let closed_at = caller.closed_at.get(set_up.connection_index).copied().flatten();
+        let is_excuse = |at: Instant| at <= set_up.at + MAX_CLOSE_RACE_DELAY;
+        if set_up.finished_at.is_some() || closed_at.is_some_and(is_excuse) || is_excuse(self.ended_at) {
             return None;
         }
-        let closed = closed.map_or("open".to_owned(), |at| format!("closed at {}", self.since(at)));
-        Some(format!("no answer; sent at {}, connection {closed}", self.since(set_up.at)))
+        let state = closed_at
+            .map_or("open".to_owned(), |at| format!("closed at {}", self.seconds_since_start(at)));
+        Some(format!("no answer; sent at {}, connection {state}", self.seconds_since_start(set_up.at)))
     }
 
+    /// Checks the end of an established call that its caller did not release.
     fn check_end(
         &self,
-        set_up: &SetUp,
-        answer: &Told,
-        told: Option<Instant>,
+        set_up: &SentSetUp,
+        answer: &ReceivedMessage,
+        end_reported_at: Option<Instant>,
         counts: &mut Counts,
     ) -> Option<String> {
-        // A call may have been tried at other exchanges before.
+        // Earlier attempts of the call may have gone to other exchanges; the port names the one that answered.
         let port = answer.message.blob.as_ref()?.parse::<u16>().ok();
-        let Some(witness) = self.witnesses.iter().find(|w| Some(w.port) == port) else {
-            return Some("an answer that no exchange made".to_owned());
+        let Some(exchange) = self.exchanges.iter().find(|e| Some(e.port) == port) else {
+            return Some("the answer does not name the port of an exchange".to_owned());
         };
-        let Some(record) = witness.calls.get(&set_up.tag) else {
-            return Some("an answer of an exchange that does not know the call".to_owned());
+        let Some(call) = exchange.calls.get(&set_up.tag) else {
+            return Some("answered by an exchange that has no record of the call".to_owned());
         };
-        // Told while it stood at the exchange, which hears of that later if at all.
-        let early = told.filter(|at| record.over.is_none_or(|over| over > *at + ABOUT));
-        if let Some(told) = early {
-            return self.check_cut(witness, told);
+        // The end was reported while the call was established at the exchange, which learns of it later or never.
+        let early_end =
+            end_reported_at.filter(|at| call.ended_at.is_none_or(|end| end > *at + END_TIME_TOLERANCE));
+        if let Some(reported_at) = early_end {
+            return self.check_early_end(exchange, reported_at);
         }
-        let over = record.over.filter(|_| !record.cut)?;
-        let released = record.released.filter(|at| *at <= over + RELEASED_IN_TIME);
-        let due = released.map_or(over + TOLD, |at| at + PASSED_ON);
-        counts.lost += usize::from(released.is_none());
-        // Whoever has ended can't tell any more.
-        if due >= self.ended {
+        let ended_at = call.ended_at.filter(|_| !call.released_by_controller)?;
+        let released_in_time = call.released.filter(|at| *at <= ended_at + MAX_RELEASE_SEND_DELAY);
+        let due = released_in_time
+            .map_or(ended_at + MAX_END_REPORT_DELAY, |at| at + MAX_RELEASE_FORWARD_DELAY);
+        counts.lost += usize::from(released_in_time.is_none());
+        // A controller that has ended can't report anything.
+        if due >= self.ended_at {
             return None;
         }
-        let late = told.is_none_or(|at| at > due);
-        late.then(|| {
-            let told = told.map_or("never".to_owned(), |at| self.since(at));
-            let released = record.released.map_or("never".to_owned(), |at| self.since(at));
-            format!("over at {}, released at {released}, told {told}", self.since(over))
+        let is_late = end_reported_at.is_none_or(|at| at > due);
+        is_late.then(|| {
+            let reported = end_reported_at.map_or("never".to_owned(), |at| self.seconds_since_start(at));
+            let released = call.released.map_or("never".to_owned(), |at| self.seconds_since_start(at));
+            format!(
+                "over at {}, released at {released}, told {reported}",
+                self.seconds_since_start(ended_at)
+            )
         })
     }
 
-    /// A call was released towards its caller while it stood at its exchange.
-    fn check_cut(&self, witness: &Witness, told: Instant) -> Option<String> {
-        let excused = witness.outages.iter().any(|o| {
-            let to = o.to.unwrap_or(told);
-            o.from <= told && to + LOST_AFTER >= told && to.saturating_duration_since(o.from) >= KEPT_FOR
+    /// Checks a call whose end was reported to the caller while the call was established at its exchange. An outage of
+    /// the exchange, a reset of its connections or the stop of the controller excuses that.
+    fn check_early_end(&self, exchange: &ExchangeRecord, reported_at: Instant) -> Option<String> {
+        let had_outage = exchange.outages.iter().any(|o| {
+            let to = o.to.unwrap_or(reported_at);
+            o.from <= reported_at
+                && to + MAX_FAILURE_SIGN_AGE >= reported_at
+                && to.saturating_duration_since(o.from) >= MIN_EXCUSING_OUTAGE_TIME
         });
-        if excused || witness.was_reset || told >= self.stopped {
+        if had_outage || exchange.was_reset || reported_at >= self.stop_signalled_at {
             return None;
         }
-        Some(format!("cut at {} while it stood", self.since(told)))
+        Some(format!("cut at {} while it stood", self.seconds_since_start(reported_at)))
     }
 }
