--- a/trials/src/caller.rs
+++ b/trials/src/caller.rs
@@ -116,8 +116,8 @@
     /// When the controller reported the end of an established call; `None` if it has not.
     pub fn told_over(&self, tag: &str) -> Option<Instant> {
         let received = self.received();
-        let started = received.iter().position(|m| m.is_started() && m.message.tag == tag)?;
-        received[started..]
+        let started_index = received.iter().position(|m| m.is_started() && m.message.tag == tag)?;
+        received[started_index..]
             .iter()
             .find(|m| m.message.verb == "FINISH" && m.message.tag == tag)
             .map(|m| m.at)
--- a/trials/src/rules.rs
+++ b/trials/src/rules.rs
@@ -204,13 +204,13 @@
     /// Checks a call whose end was reported to the caller while the call was established at its exchange. An outage of
     /// the exchange, a reset of its connections or the stop of the controller excuses that.
     fn check_early_end(&self, exchange: &ExchangeRecord, reported_at: Instant) -> Option<String> {
-        let had_outage = exchange.outages.iter().any(|o| {
+        let excused_by_outage = exchange.outages.iter().any(|o| {
             let to = o.to.unwrap_or(reported_at);
             o.from <= reported_at
                 && to + MAX_FAILURE_SIGN_AGE >= reported_at
                 && to.saturating_duration_since(o.from) >= MIN_EXCUSING_OUTAGE_TIME
         });
-        if had_outage || exchange.was_reset || reported_at >= self.stop_signalled_at {
+        if excused_by_outage || exchange.was_reset || reported_at >= self.stop_signalled_at {
             return None;
         }
         Some(format!("cut at {} while it stood", self.seconds_since_start(reported_at)))
