--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -200,10 +200,10 @@
         }
         if let Ok(listen) = std::env::var("ROUTER_LISTEN") {
             config.listen =
-                listen.parse().map_err(|_| format!("ROUTER_LISTEN: {listen} is no address"))?;
+                listen.parse().map_err(|_| format!("ROUTER_LISTEN: {listen} is not an address"))?;
         }
         if let Ok(admin) = std::env::var("ROUTER_ADMIN_ADDR") {
-            let to_error = |_| format!("ROUTER_ADMIN_ADDR: {admin} is no address");
+            let to_error = |_| format!("ROUTER_ADMIN_ADDR: {admin} is not an address");
             config.admin = Some(admin.parse().map_err(to_error)?);
         }
         if let Ok(descriptor) = std::env::var("ROUTER_SOCKET_FD") {
@@ -321,7 +321,7 @@
 
 /// Parses the socket address that was read at a key.
 fn parse_address(text: &str, path: &str, key: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{path}{key}: {text} is no address"))
+    text.parse().map_err(|_| format!("{path}{key}: {text} is not an address"))
 }
 
 /// The tables of an array, each with its key path for errors.
@@ -385,7 +385,7 @@
 /// The socket address at a path.
 fn lookup_address(root: &JsonValue, path: &str) -> Result<SocketAddr, String> {
     let text = read::text(root, path)?;
-    text.parse().map_err(|_| format!("{path}: {text} is no address"))
+    text.parse().map_err(|_| format!("{path}: {text} is not an address"))
 }
 
 /// Whether liveness probes may be sent to exchanges; false by default.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -34,7 +34,7 @@
 /// Reads the finite number at a dotted path.
 pub fn number(root: &JsonValue, path: &str) -> Result<f64, String> {
     let number = lookup(root, path).and_then(JsonValue::get::<f64>).copied();
-    number.filter(|x| x.is_finite()).ok_or_else(|| format!("{path} is no number"))
+    number.filter(|x| x.is_finite()).ok_or_else(|| format!("{path} is not a number"))
 }
 
 /// Reads the string at a dotted path.
