--- a/node/tests/lines.rs
+++ b/node/tests/lines.rs
@@ -570,7 +570,11 @@
             None,
             "admin_addr: Address already in use",
         ),
-        (valid.replace(r#""tick_ms":5.0"#, r#""tick_ms":"5""#), None, "settings.tick_ms is not a number"),
+        (
+            valid.replace(r#""tick_ms":5.0"#, r#""tick_ms":"5""#),
+            None,
+            "settings.tick_ms is not a number",
+        ),
         (valid.replace(r#""full":true"#, r#""full":1"#), None, "known.entries[0]: hosts.full"),
         (valid.clone(), Some(format!("{sip_section}t1 = 5")), "sip.t1 is unknown"),
         (valid.clone(), Some("[sip]\n".into()), "sip.udp and sip.tcp are missing"),
--- a/src/control.rs
+++ b/src/control.rs
@@ -44,7 +44,7 @@
 const LATE_IN_FLIGHT_SHARE: f64 = 0.3;
 /// Weight of one caller in the mean patience, which averages over about thirty callers.
 const PATIENCE_WEIGHT: f64 = 0.03;
-/// Minimum interval between probe set-ups to a congested processor: one a second, by design. It is also the
+/// Minimum interval between trial set-ups to a congested processor: one a second, by design. It is also the
 /// window over which recent outcomes and answers are counted.
 const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
 /// Outcomes needed to estimate the delay of the local processor: fewer may all come from one slow processor.
@@ -92,8 +92,8 @@
     newest_sent_at: Duration,
     congested: bool,
     last_sent_at: Option<Duration>,
-    /// No probe before this: a set-up that timed out may stay in the queue for as long again.
-    probe_from: Duration,
+    /// No trial set-up before this: a set-up that timed out may stay in the queue for as long again.
+    next_trial_at: Duration,
     /// Number of faults since the last other answer.
     faults: u32,
     unanswered: BTreeSet<(Duration, CallId)>,
@@ -132,7 +132,7 @@
 
     /// Updates the congestion flag, with hysteresis. The age of the oldest unanswered set-up counts as an
     /// observed delay: this detects processors that answer nothing (hang, crash, lost link) before a time-out
-    /// does. One lost answer can set the flag wrongly; the probe once a second corrects it.
+    /// does. One lost answer can set the flag wrongly; the trial set-up once a second corrects it.
     fn update_flag(&mut self, now: Duration, target: f64, local: &LocalDelay) -> bool {
         let reference =
             self.lowest.unwrap_or(f64::INFINITY).min(target * UPPER_BOUND_SHARE / UPPER_RATIO_LIMITS.0);
@@ -372,12 +372,12 @@
         self.peers.get_mut(&exchange).is_none_or(|p| p.estimate.update_flag(now, target, local))
     }
 
-    /// Whether a probe, an ordinary call sent to a congested processor, is due. None is due while a set-up
-    /// there is unanswered, so that probes do not add to a backlog.
-    fn probe_due(&self, exchange: ExchangeId) -> bool {
+    /// Whether a trial set-up, that of an ordinary call to a congested processor, is due. None is due while
+    /// another set-up there is unanswered, so that trial set-ups do not add to a backlog.
+    fn trial_due(&self, exchange: ExchangeId) -> bool {
         self.peers.get(&exchange).map(|p| &p.estimate).is_some_and(|e| {
             let interval_over = e.last_sent_at.is_none_or(|t| self.now >= t + SAMPLE_PERIOD);
-            interval_over && e.unanswered.is_empty() && self.now >= e.probe_from
+            interval_over && e.unanswered.is_empty() && self.now >= e.next_trial_at
         })
     }
 
@@ -416,7 +416,7 @@
     /// pass the local processor. Guards against bursts (dropped calls dialled again, mass calling, a slow
     /// local processor) that remote delays show too late. Set-ups to congested processors wait there and do
     /// not count. After a lull the limit could be too low until answers show the possible rate, so a few are
-    /// always allowed. While the local processor is congested, the limit is one: a probe.
+    /// always allowed. While the local processor is congested, the limit is one: a trial set-up.
     fn in_flight_limit_reached(&self, priority: Priority) -> bool {
         let counted = self.peers.values().filter(|p| self.local.congested || !p.estimate.congested);
         let in_flight: usize = counted.map(|p| p.estimate.unanswered.len()).sum();
@@ -450,8 +450,8 @@
         let priority = self.priority(call);
         let bypass = priority == Priority::High && self.answers_in_time(destination, info.class);
         let congested = self.update_congested(destination) && !bypass;
-        let probe = first_attempt && priority != Priority::Late && self.probe_due(destination);
-        if self.in_flight_limit_reached(priority) || congested && !probe {
+        let is_trial = first_attempt && priority != Priority::Late && self.trial_due(destination);
+        if self.in_flight_limit_reached(priority) || congested && !is_trial {
             return Decision::Wait;
         }
         let reserved = match priority {
@@ -804,15 +804,15 @@
             // Full, timed out, reset or unreachable: each counts as the penalty delay. Otherwise a processor
             // that fails at once would be the tandem of lowest delay and attract calls.
             _ => {
-                let (mut advised_wait, mut probe_from) = (0.0, now.saturating_add(end.delay));
+                let (mut advised_wait, mut trial_from) = (0.0, now.saturating_add(end.delay));
                 if let Outcome::ProcessorFull(wait) = end.outcome {
-                    (advised_wait, probe_from) = (wait.map_or(0.0, secs), now);
+                    (advised_wait, trial_from) = (wait.map_or(0.0, secs), now);
                 } else if end.outcome == Outcome::TimedOut {
                     self.record_outcome(exchange, delay, false);
                 }
                 if let Some(peer) = self.peers.get_mut(&exchange) {
                     peer.estimate.add_sample(sent_at, penalty.max(advised_wait) - self.local.delay);
-                    peer.estimate.probe_from = peer.estimate.probe_from.max(probe_from);
+                    peer.estimate.next_trial_at = peer.estimate.next_trial_at.max(trial_from);
                 }
                 await_release = matches!(end.outcome, Outcome::TimedOut | Outcome::Reset);
                 retry = !direct;
--- a/tests/controller/failures.rs
+++ b/tests/controller/failures.rs
@@ -35,17 +35,17 @@
     );
 }
 
-/// Guards against probes that add to the backlog of a congested processor.
+/// Guards against trial set-ups that add to the backlog of a congested processor.
 #[test]
-fn no_probe_is_sent_while_a_set_up_is_unanswered() {
+fn no_trial_set_up_is_sent_while_a_set_up_is_unanswered() {
     let (mut host, _) = congested_host(settings());
     host.advance(5000);
     assert_eq!(sent_to(&host.place_call(1).1), None);
 }
 
-/// Guards against probes that queue behind a set-up that timed out but is still queued at the processor.
+/// Guards against trial set-ups that queue behind a set-up that timed out but is still queued at the processor.
 #[test]
-fn probes_pause_after_a_time_out_and_then_go_once_a_second() {
+fn trial_set_ups_pause_after_a_time_out_and_then_go_once_a_second() {
     let (mut host, call) = congested_host(settings());
     host.now += ms(100);
     let end =
@@ -54,11 +54,11 @@
     host.now += ms(1000);
     assert_eq!(sent_to(&host.place_call(1).1), None, "the set-up that timed out may still be queued");
     host.now += ms(600);
-    let (probe, actions) = host.place_call(1);
-    assert_eq!(sent_to(&actions), Some(exchange_id(1)), "a probe");
+    let (trial, actions) = host.place_call(1);
+    assert_eq!(sent_to(&actions), Some(exchange_id(1)), "a trial set-up");
     host.now += ms(900);
-    host.answer(probe, 0, ms(900));
-    assert_eq!(sent_to(&host.place_call(1).1), None, "at most one probe a second");
+    host.answer(trial, 0, ms(900));
+    assert_eq!(sent_to(&host.place_call(1).1), None, "at most one trial set-up a second");
     host.now += ms(100);
     assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)));
 }
@@ -81,7 +81,11 @@
     }
     host.place_call(1);
     let (_, actions) = host.place_call(1);
-    assert_eq!(sent_to(&actions), Some(exchange_id(1)), "not congested: more than a probe is sent");
+    assert_eq!(
+        sent_to(&actions),
+        Some(exchange_id(1)),
+        "not congested: more than a trial set-up is sent"
+    );
 }
 
 /// Guards against a burst that overloads the processors before any delay shows it.
@@ -315,7 +319,7 @@
 #[test]
 fn a_delay_common_to_all_answers_marks_only_the_local_processor_congested() {
     let mut host = host_with_local_queue();
-    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "one set-up at a time, as a probe");
+    assert_eq!(sent_to(&host.place_call(1).1), Some(exchange_id(1)), "one set-up at a time, as a trial");
     assert_eq!(sent_to(&host.place_call(2).1), None, "the local processor is congested");
 }
 
@@ -344,7 +348,7 @@
             call_ended: true,
         }));
     }
-    assert!(sent_to(&host.place_call(11).1).is_some(), "the probe");
+    assert!(sent_to(&host.place_call(11).1).is_some(), "the trial set-up");
     assert_eq!(sent_to(&host.place_call(12).1), None);
 }
 
