--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -493,7 +493,7 @@
     }
 
     /// Executes a command for a call of a client.
-    pub fn command(&mut self, command: Command, cx: &mut Context) {
+    pub fn execute(&mut self, command: Command, cx: &mut Context) {
         match command {
             Command::Answer(call, description) => {
                 self.mark_answered(call, true);
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -378,7 +378,7 @@
     }
 
     /// Executes a command for an exchange.
-    pub fn command(&mut self, command: Command, cx: &mut Context) {
+    pub fn execute(&mut self, command: Command, cx: &mut Context) {
         match command {
             Command::SetUp { attempt, exchange, info, wait } => {
                 let deadline = cx.now + wait;
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -26,7 +26,7 @@
 use operators::{OperatorCommand, Operators};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
-use sip::{Sip, SipDue};
+use sip::{Sip, SipTimer};
 use slateshed::{ExchangeId, ExchangeNumber, Topology};
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -113,7 +113,7 @@
     /// The journal service must have sent a line by now; with the generation of its connection.
     JournalIdleTimeout(u64),
     /// A timer of the SIP front.
-    Sip(SipDue),
+    Sip(SipTimer),
     /// The SIP front's TCP listener may accept again.
     SipAccept,
     /// A TCP connection of the SIP front must be established, or must have received data, by now.
@@ -237,7 +237,7 @@
             journal.dial(&mut cx);
             cx.log.line(now, "started", format_args!("listening on {listen}"));
             if let Some(sip) = &sip {
-                cx.log.line(now, "sip-started", format_args!("listening on {}", sip.listens()));
+                cx.log.line(now, "sip-started", format_args!("listening on {}", sip.listen_addresses()));
             }
             if let Some(operators) = &operators {
                 let listen = operators.local_addr()?;
@@ -254,10 +254,12 @@
                 (Some(SourceKind::Client), token) => clients.ready(token, &mut cx),
                 (Some(SourceKind::Exchange), token) => exchanges.ready(token, &mut cx),
                 (Some(SourceKind::Journal), token) => journal.ready(token, &mut list_events, &mut cx),
-                (Some(SourceKind::SipDatagrams), _) => sip.iter_mut().for_each(|s| s.datagrams(&mut cx)),
+                (Some(SourceKind::SipDatagrams), _) => {
+                    sip.iter_mut().for_each(|s| s.receive_datagrams(&mut cx))
+                }
                 (Some(SourceKind::SipListener), _) => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
                 (Some(SourceKind::SipStream), token) => {
-                    sip.iter_mut().for_each(|s| s.stream(token, &mut cx))
+                    sip.iter_mut().for_each(|s| s.stream_ready(token, &mut cx))
                 }
                 (Some(SourceKind::Signals), _) => {
                     for signal in signals.pending() {
@@ -303,7 +305,7 @@
         for list_event in list_events.drain(..) {
             let lines: Vec<_> = list_event.lines.iter().map(|(l, _)| l.clone()).collect();
             cx.engine.update_list(now, list_event.full, &lines, cx.timers);
-            let is_served_by_sip = |n| sip.as_ref().is_some_and(|s| s.serves(n));
+            let is_served_by_sip = |n| sip.as_ref().is_some_and(|s| s.reaches_exchange(n));
             let is_json_exchange = |n: ExchangeNumber| Some(n) != local && !is_served_by_sip(n);
             let mut listed_exchanges = Vec::new();
             for (listed, addr) in &list_event.lines {
@@ -340,10 +342,12 @@
                 TimerEvent::JournalIdleTimeout(generation) => {
                     journal.idle_timeout_due(generation, &mut cx)
                 }
-                TimerEvent::Sip(due) => sip.iter_mut().for_each(|s| s.due(due, &mut cx)),
+                TimerEvent::Sip(sip_timer) => {
+                    sip.iter_mut().for_each(|s| s.timer_due(sip_timer, &mut cx))
+                }
                 TimerEvent::SipAccept => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
                 TimerEvent::SipStream(token) => {
-                    sip.iter_mut().for_each(|s| s.stream_due(token, &mut cx))
+                    sip.iter_mut().for_each(|s| s.stream_timeout_due(token, &mut cx))
                 }
                 TimerEvent::OperatorAccept => operators.iter_mut().for_each(|o| o.accept(&mut cx)),
                 TimerEvent::OperatorTimeout(token) => {
@@ -360,8 +364,8 @@
         loop {
             while let Some(request) = cx.engine.next_connection_request() {
                 let number = cx.engine.number(request.exchange());
-                match sip.as_mut().filter(|s| number.is_some_and(|n| s.serves(n))) {
-                    Some(sip) => sip.upkeep(request, &mut cx),
+                match sip.as_mut().filter(|s| number.is_some_and(|n| s.reaches_exchange(n))) {
+                    Some(sip) => sip.handle_connection_request(request, &mut cx),
                     None => exchanges.handle_connection_request(request, &mut cx),
                 }
             }
@@ -371,22 +375,22 @@
                     _ => None,
                 };
                 let is_sip_command = |s: &&mut Sip| match &command {
-                    Command::SetUp { .. } => number.is_some_and(|n| s.serves(n)),
+                    Command::SetUp { .. } => number.is_some_and(|n| s.reaches_exchange(n)),
                     Command::CancelAttempt(a)
                     | Command::ReleaseExchange(a, _)
-                    | Command::ForgetAttempt(a) => s.sent(*a),
-                    Command::Answer(c, _) | Command::Refuse(c, _) => s.owns(*c),
-                    Command::Fail(c) | Command::ReleaseCaller(c, _) => s.owns(*c),
+                    | Command::ForgetAttempt(a) => s.has_attempt(*a),
+                    Command::Answer(c, _) | Command::Refuse(c, _) => s.has_call(*c),
+                    Command::Fail(c) | Command::ReleaseCaller(c, _) => s.has_call(*c),
                 };
                 match sip.as_mut().filter(is_sip_command) {
-                    Some(sip) => sip.command(command, number, &mut cx),
-                    None if command.is_for_caller() => clients.command(command, &mut cx),
-                    None => exchanges.command(command, &mut cx),
+                    Some(sip) => sip.execute(command, number, &mut cx),
+                    None if command.is_for_caller() => clients.execute(command, &mut cx),
+                    None => exchanges.execute(command, &mut cx),
                 }
             }
             clients.reap(&mut cx);
             exchanges.reap(&mut cx);
-            sip.iter_mut().for_each(|s| s.reap(&mut cx));
+            sip.iter_mut().for_each(|s| s.end_failed_streams(&mut cx));
             if !cx.engine.has_commands() {
                 break;
             }
--- a/node/src/net/sip/checks.rs
+++ b/node/src/net/sip/checks.rs
@@ -15,7 +15,7 @@
 impl Sip {
     /// Carries out a request of the engine. Only `Check` needs an action here, since the calls at a dead exchange are
     /// ended one by one.
-    pub fn upkeep(&mut self, request: ConnectionRequest, cx: &mut Context) {
+    pub fn handle_connection_request(&mut self, request: ConnectionRequest, cx: &mut Context) {
         if let ConnectionRequest::Check(exchange, _) = request {
             self.check_exchange(exchange, cx);
         }
@@ -53,7 +53,7 @@
             leg.last_checked_at = cx.now;
             let options = leg.dialog.request("OPTIONS", &via, &contact);
             let destination = (leg.dialog.next_hop, None);
-            let transaction = self.transactions.request(
+            let transaction = self.transactions.send_request(
                 cx.now,
                 "OPTIONS",
                 &branch,
--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -2,7 +2,7 @@
 
 use super::dialog::Dialog;
 use super::message;
-use super::{Leg, LegState, Party, Sip, SipDue, ALLOW};
+use super::{Leg, LegState, Party, Sip, SipTimer, ALLOW};
 use crate::arena::Token;
 use crate::end::EndReason;
 use crate::engine::{AttemptToken, CallInfo, Command};
@@ -14,7 +14,7 @@
 
 impl Sip {
     /// Carries out a command of the engine.
-    pub fn command(
+    pub fn execute(
         &mut self,
         command: Command,
         exchange_number: Option<ExchangeNumber>,
@@ -113,7 +113,7 @@
         let bytes = message::request("INVITE", &uri, &headers, &info.description);
         let sent_invite = Rc::new(dialog.sent_invite(&uri, &via));
         let destination = (next_hop, Some(Rc::clone(&sent_invite)));
-        let transaction = self.transactions.request(
+        let transaction = self.transactions.send_request(
             cx.now,
             "INVITE",
             &branch,
@@ -148,7 +148,7 @@
         let Some(leg) = self.legs.get_mut(leg_token) else {
             return;
         };
-        self.transactions.hush(leg.invite_transaction);
+        self.transactions.stop_retransmission(leg.invite_transaction);
         let Some(sent_invite) = leg
             .sent_invite
             .clone()
@@ -159,8 +159,15 @@
         leg.cancel_sent = true;
         let branch = sent_invite.via.rsplit_once("branch=").map_or("", |(_, branch)| branch);
         let (bytes, destination) =
-            (sent_invite.follow_up("CANCEL", &sent_invite.to), (leg.dialog.next_hop, None));
-        self.transactions.request(now, "CANCEL", branch, bytes, destination, &mut self.pending_output);
+            (sent_invite.ack_or_cancel("CANCEL", &sent_invite.to), (leg.dialog.next_hop, None));
+        self.transactions.send_request(
+            now,
+            "CANCEL",
+            branch,
+            bytes,
+            destination,
+            &mut self.pending_output,
+        );
     }
 
     /// Sends a non-2xx final response on a caller's leg and terminates the leg.
@@ -180,7 +187,7 @@
                 extra_headers,
                 body,
             );
-            self.transactions.respond(
+            self.transactions.send_response(
                 cx.now,
                 leg.invite_transaction,
                 status,
@@ -211,9 +218,9 @@
             leg.state_changed_at = cx.now;
             cx.timers.schedule(
                 cx.now + leg.retransmit_interval,
-                TimerEvent::Sip(SipDue::RetransmitAnswer(leg_token)),
+                TimerEvent::Sip(SipTimer::RetransmitAnswer(leg_token)),
             );
-            self.transactions.respond(
+            self.transactions.send_response(
                 cx.now,
                 leg.invite_transaction,
                 200,
@@ -243,7 +250,7 @@
         leg.retransmit_interval = (leg.retransmit_interval * 2).min(times.t2);
         cx.timers.schedule(
             cx.now + leg.retransmit_interval,
-            TimerEvent::Sip(SipDue::RetransmitAnswer(leg_token)),
+            TimerEvent::Sip(SipTimer::RetransmitAnswer(leg_token)),
         );
         let (next_hop, bytes) = (leg.dialog.next_hop, Rc::clone(&leg.retransmission));
         let _ = self.transport.send(next_hop, &bytes, cx);
@@ -258,7 +265,7 @@
         if let Some(leg) = self.legs.get_mut(leg_token) {
             let bye = leg.dialog.request("BYE", &via, &contact);
             let destination = (leg.dialog.next_hop, None);
-            self.transactions.request(
+            self.transactions.send_request(
                 cx.now,
                 "BYE",
                 &branch,
@@ -283,7 +290,7 @@
             leg.state = LegState::Terminated;
             leg.state_changed_at = cx.now;
             let remove_at = cx.now + self.config.times.transaction_timeout() + self.config.times.t4;
-            cx.timers.schedule(remove_at, TimerEvent::Sip(SipDue::RemoveLeg(leg_token)));
+            cx.timers.schedule(remove_at, TimerEvent::Sip(SipTimer::RemoveLeg(leg_token)));
         }
     }
 
--- a/node/src/net/sip/dialog.rs
+++ b/node/src/net/sip/dialog.rs
@@ -1,7 +1,7 @@
 //! Dialogs (RFC 3261, section 12): the state from which requests within a call are built, as UAC and as UAS.
 
 use super::message::{self, Message};
-use super::transaction::{Sent, Target};
+use super::transaction::{SentInvite, Target};
 use ezk_sip_types::header::typed::Routing;
 use ezk_sip_types::host::Host;
 use ezk_sip_types::print::AppendCtx;
@@ -109,8 +109,8 @@
     }
 
     /// The parts of this dialog's INVITE that its CANCEL and the ACK of a non-2xx final response repeat.
-    pub fn sent_invite(&self, uri: &str, via: &str) -> Sent {
-        Sent {
+    pub fn sent_invite(&self, uri: &str, via: &str) -> SentInvite {
+        SentInvite {
             uri: uri.to_owned(),
             via: via.to_owned(),
             from: self.local_party.clone(),
--- a/node/src/net/sip/incoming.rs
+++ b/node/src/net/sip/incoming.rs
@@ -2,7 +2,7 @@
 
 use super::dialog::Dialog;
 use super::message::{self, Message};
-use super::transaction::{Taken, Target};
+use super::transaction::{ReceiveResult, Target};
 use super::{Leg, LegState, Party, Sip, ALLOW};
 use crate::arena::Token;
 use crate::config::{SipConfig, SipNumber};
@@ -30,9 +30,14 @@
         source: Target,
         cx: &mut Context,
     ) {
-        match self.transactions.take_request(cx.now, &request, &method, source, &mut self.pending_output)
-        {
-            Taken::Request(transaction) => {
+        match self.transactions.receive_request(
+            cx.now,
+            &request,
+            &method,
+            source,
+            &mut self.pending_output,
+        ) {
+            ReceiveResult::Request(transaction) => {
                 let respond = |sip: &mut Self, status, extra_headers: &[(&str, &str)]| {
                     sip.respond(transaction, &request.headers, status, extra_headers, cx.now);
                 };
@@ -72,15 +77,15 @@
                     respond(self, 405, &[("Allow", ALLOW)]);
                 }
             }
-            Taken::Ack => self.handle_ack(&request, cx),
-            Taken::Full => {
+            ReceiveResult::Ack => self.handle_ack(&request, cx),
+            ReceiveResult::TableFull => {
                 cx.log.line(cx.now, "sip-full", format_args!("{method} from {}", source.addr));
                 let tag = self.random_id();
                 let extra_headers = [("Retry-After", FULL_RETRY_AFTER_SECS)];
                 let bytes = message::response(&request.headers, 503, &tag, &extra_headers, "");
                 let _ = self.transport.send(source, &bytes, cx);
             }
-            Taken::Response(_) | Taken::Absorbed | Taken::Stray => {}
+            ReceiveResult::Response(_) | ReceiveResult::Absorbed | ReceiveResult::Stray => {}
         }
     }
 
@@ -95,7 +100,7 @@
     ) {
         let tag = self.random_id();
         let bytes = message::response(request_headers, status, &tag, extra_headers, "");
-        self.transactions.respond(now, transaction, status, bytes, &mut self.pending_output);
+        self.transactions.send_response(now, transaction, status, bytes, &mut self.pending_output);
     }
 
     /// Handles the INVITE of a new call.
@@ -135,7 +140,7 @@
         };
         let local_tag = self.random_id();
         let trying = message::response(&invite.headers, 100, &local_tag, &[], "");
-        self.transactions.respond(cx.now, transaction, 100, trying, &mut self.pending_output);
+        self.transactions.send_response(cx.now, transaction, 100, trying, &mut self.pending_output);
         let expires =
             invite.headers.get_named::<Expires>().ok().map(|e| Duration::from_secs(e.0.into()));
         let deadline = cx.wire.deadlines[class];
@@ -244,8 +249,8 @@
 
     /// Handles a received response.
     pub(super) fn handle_response(&mut self, response: Message, cx: &mut Context) {
-        let Taken::Response(transaction) =
-            self.transactions.response(cx.now, &response, &mut self.pending_output)
+        let ReceiveResult::Response(transaction) =
+            self.transactions.receive_response(cx.now, &response, &mut self.pending_output)
         else {
             return;
         };
@@ -336,7 +341,7 @@
         let _ = self.transport.send(dialog.next_hop, &ack, cx);
         let (via, branch) = self.new_via(protocol);
         let bye = dialog.request("BYE", &via, &contact);
-        self.transactions.request(
+        self.transactions.send_request(
             cx.now,
             "BYE",
             &branch,
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -23,7 +23,7 @@
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use transaction::{Output, Protocol, Sent, Target, Timer, Transactions};
+use transaction::{Output, Protocol, SentInvite, Target, Timer, Transactions};
 use transport::Transport;
 
 /// Maximum datagrams received per iteration of the event loop.
@@ -33,7 +33,7 @@
 
 /// A timer of the SIP front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SipDue {
+pub enum SipTimer {
     /// A timer of a transaction.
     TransactionTimer(Token, Timer),
     /// The 2xx of a leg is retransmitted, as its ACK has not arrived yet.
@@ -72,7 +72,7 @@
     /// Caller's leg: the header fields of the INVITE, from which its final response is built.
     invite_headers: Headers,
     /// Exchange's leg: the parts of the INVITE that a CANCEL repeats.
-    sent_invite: Option<Rc<Sent>>,
+    sent_invite: Option<Rc<SentInvite>>,
     /// Exchange's leg: a CANCEL has been sent.
     cancel_sent: bool,
     /// The message to retransmit: the 2xx to the caller, or the ACK of a 2xx to the exchange. Empty before that.
@@ -141,7 +141,7 @@
     }
 
     /// The addresses that the front listens on, for the log.
-    pub fn listens(&self) -> String {
+    pub fn listen_addresses(&self) -> String {
         let address =
             |name, protocol| self.transport.local_addr(protocol).map(|a| format!("{name} {a}"));
         let addresses = [address("udp", Protocol::Udp), address("tcp", Protocol::Tcp)];
@@ -149,17 +149,17 @@
     }
 
     /// Whether an exchange is reached over SIP.
-    pub fn serves(&self, number: ExchangeNumber) -> bool {
+    pub fn reaches_exchange(&self, number: ExchangeNumber) -> bool {
         self.config.exchanges.contains_key(&number)
     }
 
     /// Whether a call was received over SIP.
-    pub fn owns(&self, call: CallToken) -> bool {
+    pub fn has_call(&self, call: CallToken) -> bool {
         self.legs_by_call.contains_key(&call)
     }
 
     /// Whether an attempt was sent over SIP.
-    pub fn sent(&self, attempt: AttemptToken) -> bool {
+    pub fn has_attempt(&self, attempt: AttemptToken) -> bool {
         self.legs_by_attempt.contains_key(&attempt)
     }
 
@@ -221,7 +221,7 @@
     // ---- Socket events --------------------------------------------------------------------------
 
     /// Receives datagrams, up to the limit of one iteration of the event loop.
-    pub fn datagrams(&mut self, cx: &mut Context) {
+    pub fn receive_datagrams(&mut self, cx: &mut Context) {
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Some((bytes, addr)) = self.transport.receive_datagram() else {
                 return;
@@ -239,11 +239,11 @@
     /// Reads the input left over from the last iteration.
     pub fn read_on(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.may_have_datagrams) {
-            self.datagrams(cx);
+            self.receive_datagrams(cx);
         }
         self.transport.resume_accept(cx);
         for token in self.transport.take_unread() {
-            self.stream(token, cx);
+            self.stream_ready(token, cx);
         }
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// Handles a stream that is readable or writable.
-    pub fn stream(&mut self, token: Token, cx: &mut Context) {
+    pub fn stream_ready(&mut self, token: Token, cx: &mut Context) {
         let (messages, end_reason) = self.transport.read(token, cx);
         if let Some(addr) = self.transport.peer(token) {
             for bytes in messages {
@@ -270,14 +270,14 @@
     }
 
     /// Handles a timeout of a stream.
-    pub fn stream_due(&mut self, token: Token, cx: &mut Context) {
-        if let Some(end_reason) = self.transport.stream_due(token, cx) {
+    pub fn stream_timeout_due(&mut self, token: Token, cx: &mut Context) {
+        if let Some(end_reason) = self.transport.stream_timeout_due(token, cx) {
             self.stream_ended(token, end_reason, cx);
         }
     }
 
     /// Closes the streams that failed while a message was sent.
-    pub fn reap(&mut self, cx: &mut Context) {
+    pub fn end_failed_streams(&mut self, cx: &mut Context) {
         for (token, end_reason) in self.transport.take_failed() {
             self.stream_ended(token, end_reason, cx);
         }
@@ -346,10 +346,10 @@
         while !self.pending_output.is_empty() {
             for output in std::mem::take(&mut self.pending_output) {
                 match output {
-                    Output::Wake(due_at, transaction, timer) => {
+                    Output::StartTimer(due_at, transaction, timer) => {
                         cx.timers.schedule(
                             due_at,
-                            TimerEvent::Sip(SipDue::TransactionTimer(transaction, timer)),
+                            TimerEvent::Sip(SipTimer::TransactionTimer(transaction, timer)),
                         );
                     }
                     Output::Send(transaction, target, bytes) => {
@@ -391,15 +391,15 @@
     }
 
     /// Handles a timer that is due.
-    pub fn due(&mut self, due: SipDue, cx: &mut Context) {
-        match due {
-            SipDue::TransactionTimer(transaction, timer) => {
-                if self.transactions.due(cx.now, transaction, timer, &mut self.pending_output) {
+    pub fn timer_due(&mut self, sip_timer: SipTimer, cx: &mut Context) {
+        match sip_timer {
+            SipTimer::TransactionTimer(transaction, timer) => {
+                if self.transactions.timer_due(cx.now, transaction, timer, &mut self.pending_output) {
                     self.transaction_failed(transaction, EndReason::TimedOut, cx);
                 }
             }
-            SipDue::RetransmitAnswer(leg_token) => self.retransmit_answer(leg_token, cx),
-            SipDue::RemoveLeg(leg_token) => self.remove_leg(leg_token),
+            SipTimer::RetransmitAnswer(leg_token) => self.retransmit_answer(leg_token, cx),
+            SipTimer::RemoveLeg(leg_token) => self.remove_leg(leg_token),
         }
         self.process_output(cx);
     }
--- a/node/src/net/sip/transaction.rs
+++ b/node/src/net/sip/transaction.rs
@@ -105,12 +105,12 @@
     /// Send these bytes for this transaction.
     Send(Token, Target, Rc<[u8]>),
     /// Start a timer of this transaction that is due at this time.
-    Wake(Duration, Token, Timer),
+    StartTimer(Duration, Token, Timer),
 }
 
-/// How a received message was classified.
+/// The result of processing a received message.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReceiveResult {
     /// A new request, with the server transaction created for it.
     Request(Token),
     /// A response that the TU has to process, with its client transaction.
@@ -122,7 +122,7 @@
     /// A response that matches no client transaction.
     Stray,
     /// A new request above the limit of transactions. Any response has to be sent without a transaction.
-    Full,
+    TableFull,
 }
 
 /// A client or server transaction.
@@ -137,12 +137,12 @@
     /// The TU has abandoned the request: it is not retransmitted, but responses are still processed.
     retransmission_stopped: bool,
     /// INVITE client transaction: what its ACK or CANCEL repeats.
-    sent_invite: Option<Rc<Sent>>,
+    sent_invite: Option<Rc<SentInvite>>,
 }
 
 /// The parts of a sent INVITE that its CANCEL, or the ACK of a non-2xx final response, repeats.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentInvite {
     /// The request URI.
     pub uri: String,
     /// The topmost Via, with its branch parameter.
@@ -159,9 +159,9 @@
     pub routes: Vec<String>,
 }
 
-impl Sent {
+impl SentInvite {
     /// Writes the ACK of a non-2xx final response (`to` is the To of that response) or the CANCEL.
-    pub fn follow_up(&self, method: &str, to: &str) -> Vec<u8> {
+    pub fn ack_or_cancel(&self, method: &str, to: &str) -> Vec<u8> {
         let cseq = format!("{} {method}", self.cseq);
         let mut headers = vec![("Via", self.via.as_str()), ("Max-Forwards", "70"), ("From", &self.from)];
         headers.extend([("To", to), ("Call-ID", &self.call_id), ("CSeq", &cseq)]);
@@ -226,13 +226,13 @@
     }
 
     /// Sends a request in a new client transaction. `sent_invite` is needed for an INVITE only.
-    pub fn request(
+    pub fn send_request(
         &mut self,
         now: Duration,
         method: &str,
         branch: &str,
         bytes: Vec<u8>,
-        (target, sent_invite): (Target, Option<Rc<Sent>>),
+        (target, sent_invite): (Target, Option<Rc<SentInvite>>),
         output: &mut Vec<Output>,
     ) -> Token {
         let is_invite = method == "INVITE";
@@ -253,15 +253,20 @@
         output.push(Output::Send(token, target, last_message));
         if target.protocol == Protocol::Udp {
             let retransmit_timer = if is_invite { Timer::A } else { Timer::E };
-            output.push(Output::Wake(now + retransmit_interval, token, retransmit_timer));
+            output.push(Output::StartTimer(now + retransmit_interval, token, retransmit_timer));
         }
         let timeout_timer = if is_invite { Timer::B } else { Timer::F };
-        output.push(Output::Wake(now + self.times.transaction_timeout(), token, timeout_timer));
+        output.push(Output::StartTimer(now + self.times.transaction_timeout(), token, timeout_timer));
         token
     }
 
     /// Processes a received response.
-    pub fn response(&mut self, now: Duration, message: &Message, output: &mut Vec<Output>) -> Taken {
+    pub fn receive_response(
+        &mut self,
+        now: Duration,
+        message: &Message,
+        output: &mut Vec<Output>,
+    ) -> ReceiveResult {
         let key = Key {
             is_client: true,
             branch: message.branch().to_owned(),
@@ -269,42 +274,42 @@
         };
         let (Some(token), Some(status)) = (self.tokens_by_key.get(&key).copied(), message.status())
         else {
-            return Taken::Stray;
+            return ReceiveResult::Stray;
         };
         let Some(transaction) = self.table.get_mut(token) else {
-            return Taken::Stray;
+            return ReceiveResult::Stray;
         };
         let is_udp = transaction.target.protocol == Protocol::Udp;
         match (transaction.kind, transaction.state, status) {
             (_, State::Trying | State::Proceeding, 100..=199) => {
                 transaction.state = State::Proceeding;
-                Taken::Response(token)
+                ReceiveResult::Response(token)
             }
             (Kind::InviteClient, State::Trying | State::Proceeding, 200..=299) => {
                 transaction.state = State::Accepted;
-                output.push(Output::Wake(now + self.times.transaction_timeout(), token, Timer::M));
-                Taken::Response(token)
+                output.push(Output::StartTimer(now + self.times.transaction_timeout(), token, Timer::M));
+                ReceiveResult::Response(token)
             }
-            (Kind::InviteClient, State::Accepted, 200..=299) => Taken::Response(token),
+            (Kind::InviteClient, State::Accepted, 200..=299) => ReceiveResult::Response(token),
             (Kind::InviteClient, State::Trying | State::Proceeding, _) => {
                 transaction.state = State::Completed;
                 // RFC 3261 requires at least 32 s for timer D over UDP (64 times the default T1), and zero over TCP.
                 let wait = if is_udp { self.times.transaction_timeout() } else { Duration::ZERO };
-                output.push(Output::Wake(now + wait, token, Timer::D));
+                output.push(Output::StartTimer(now + wait, token, Timer::D));
                 Self::send_ack(token, transaction, message, output);
-                Taken::Response(token)
+                ReceiveResult::Response(token)
             }
             (Kind::InviteClient, State::Completed, 300..) => {
                 Self::send_ack(token, transaction, message, output);
-                Taken::Absorbed
+                ReceiveResult::Absorbed
             }
             (Kind::NonInviteClient, State::Trying | State::Proceeding, _) => {
                 transaction.state = State::Completed;
                 let wait = if is_udp { self.times.t4 } else { Duration::ZERO };
-                output.push(Output::Wake(now + wait, token, Timer::K));
-                Taken::Response(token)
+                output.push(Output::StartTimer(now + wait, token, Timer::K));
+                ReceiveResult::Response(token)
             }
-            _ => Taken::Absorbed,
+            _ => ReceiveResult::Absorbed,
         }
     }
 
@@ -314,33 +319,35 @@
             output.push(Output::Send(
                 token,
                 transaction.target,
-                sent_invite.follow_up("ACK", to).into(),
+                sent_invite.ack_or_cancel("ACK", to).into(),
             ));
         }
     }
 
     /// Processes a received request.
-    pub fn take_request(
+    pub fn receive_request(
         &mut self,
         now: Duration,
         message: &Message,
         method: &Method,
         source: Target,
         output: &mut Vec<Output>,
-    ) -> Taken {
+    ) -> ReceiveResult {
         let key = server_key(message, method);
         if let Some(token) = self.tokens_by_key.get(&key).copied() {
             let Some(transaction) = self.table.get_mut(token) else {
-                return Taken::Absorbed;
+                return ReceiveResult::Absorbed;
             };
             match (transaction.kind, transaction.state) {
                 (Kind::InviteServer, State::Completed) if *method == Method::ACK => {
                     transaction.state = State::Confirmed;
                     let is_udp = transaction.target.protocol == Protocol::Udp;
                     let wait = if is_udp { self.times.t4 } else { Duration::ZERO };
-                    output.push(Output::Wake(now + wait, token, Timer::I));
+                    output.push(Output::StartTimer(now + wait, token, Timer::I));
+                }
+                (Kind::InviteServer, State::Accepted) if *method == Method::ACK => {
+                    return ReceiveResult::Ack
                 }
-                (Kind::InviteServer, State::Accepted) if *method == Method::ACK => return Taken::Ack,
                 // Accepted: the TU retransmits the 2xx. Confirmed: the ACK has arrived, nothing is retransmitted.
                 // In all other states a retransmitted request is answered with the last response again.
                 (Kind::InviteServer, State::Confirmed | State::Accepted) => {}
@@ -353,17 +360,17 @@
                 }
                 _ => {}
             }
-            return Taken::Absorbed;
+            return ReceiveResult::Absorbed;
         }
         if *method == Method::ACK {
-            return Taken::Ack;
+            return ReceiveResult::Ack;
         }
         if self.table.len() >= self.max_transactions {
-            return Taken::Full;
+            return ReceiveResult::TableFull;
         }
         let kind = if *method == Method::INVITE { Kind::InviteServer } else { Kind::NonInviteServer };
         let (state, retransmit_interval, last_message) = (State::Trying, self.times.t1, Rc::from([]));
-        Taken::Request(self.insert(Transaction {
+        ReceiveResult::Request(self.insert(Transaction {
             kind,
             state,
             target: source,
@@ -393,7 +400,7 @@
 
     /// Stops the retransmission of an INVITE that was abandoned before any response. A copy that has reached the
     /// exchange may still be answered, but a retransmission could be the first to reach it and start a new attempt.
-    pub fn hush(&mut self, token: Token) {
+    pub fn stop_retransmission(&mut self, token: Token) {
         if let Some(transaction) = self.table.get_mut(token) {
             transaction.retransmission_stopped = true;
         }
@@ -406,7 +413,7 @@
     }
 
     /// Sends a response in a server transaction. After a final response, further ones are ignored.
-    pub fn respond(
+    pub fn send_response(
         &mut self,
         now: Duration,
         token: Token,
@@ -428,26 +435,32 @@
             (_, 100..=199) => transaction.state = State::Proceeding,
             (Kind::InviteServer, 200..=299) => {
                 transaction.state = State::Accepted;
-                output.push(Output::Wake(now + transaction_timeout, token, Timer::L));
+                output.push(Output::StartTimer(now + transaction_timeout, token, Timer::L));
             }
             (Kind::InviteServer, _) => {
                 transaction.state = State::Completed;
                 if is_udp {
-                    output.push(Output::Wake(now + self.times.t1, token, Timer::G));
+                    output.push(Output::StartTimer(now + self.times.t1, token, Timer::G));
                 }
-                output.push(Output::Wake(now + transaction_timeout, token, Timer::H));
+                output.push(Output::StartTimer(now + transaction_timeout, token, Timer::H));
             }
             _ => {
                 transaction.state = State::Completed;
                 let wait = if is_udp { transaction_timeout } else { Duration::ZERO };
-                output.push(Output::Wake(now + wait, token, Timer::J));
+                output.push(Output::StartTimer(now + wait, token, Timer::J));
             }
         }
     }
 
     /// Handles a timer that is due. Returns true if the transaction ended without the response or the ACK that it
     /// was waiting for.
-    pub fn due(&mut self, now: Duration, token: Token, timer: Timer, output: &mut Vec<Output>) -> bool {
+    pub fn timer_due(
+        &mut self,
+        now: Duration,
+        token: Token,
+        timer: Timer,
+        output: &mut Vec<Output>,
+    ) -> bool {
         let Some(transaction) = self.table.get_mut(token) else {
             return false;
         };
@@ -463,7 +476,7 @@
                     transaction.target,
                     Rc::clone(&transaction.last_message),
                 ));
-                output.push(Output::Wake(now + transaction.retransmit_interval, token, timer));
+                output.push(Output::StartTimer(now + transaction.retransmit_interval, token, timer));
             }
             (Timer::E, _) if is_pending => {
                 transaction.retransmit_interval = match transaction.state {
@@ -475,7 +488,7 @@
                     transaction.target,
                     Rc::clone(&transaction.last_message),
                 ));
-                output.push(Output::Wake(now + transaction.retransmit_interval, token, timer));
+                output.push(Output::StartTimer(now + transaction.retransmit_interval, token, timer));
             }
             // Timer B does not apply in Proceeding: after a provisional response, the TU decides how long to wait.
             (Timer::B, State::Trying) | (Timer::H, State::Completed) => {
--- a/node/src/net/sip/transport.rs
+++ b/node/src/net/sip/transport.rs
@@ -174,7 +174,7 @@
 
     /// Handles a timeout of a stream. Returns the reason if the stream has to be closed; otherwise starts the next
     /// timeout.
-    pub fn stream_due(&mut self, token: Token, cx: &mut Context) -> Option<EndReason> {
+    pub fn stream_timeout_due(&mut self, token: Token, cx: &mut Context) -> Option<EndReason> {
         let stream = self.streams.get(token)?;
         if !stream.conn.is_connected() {
             return Some(EndReason::DialTimedOut);
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -66,7 +66,7 @@
     fn execute_commands(&mut self) {
         while let Some(command) = self.context_fixture.engine.next_command() {
             if !command.is_for_caller() {
-                self.with_context(|exchanges, cx| exchanges.command(command, cx));
+                self.with_context(|exchanges, cx| exchanges.execute(command, cx));
             }
         }
     }
--- a/node/tests/transactions.rs
+++ b/node/tests/transactions.rs
@@ -62,7 +62,7 @@
                         .to_owned();
                     self.record(&method_or_status);
                 }
-                Output::Wake(at, token, timer) => self.pending_timers.push((at, token, timer)),
+                Output::StartTimer(at, token, timer) => self.pending_timers.push((at, token, timer)),
             }
         }
     }
@@ -78,7 +78,7 @@
             let (at, token, timer) = self.pending_timers.remove(0);
             self.now = at;
             let mut outputs = Vec::new();
-            if self.transactions.due(at, token, timer, &mut outputs) {
+            if self.transactions.timer_due(at, token, timer, &mut outputs) {
                 self.record("failed");
             }
             self.handle_output(outputs);
@@ -88,7 +88,7 @@
 
     /// Sends a request in a new client transaction.
     fn send_request(&mut self, method: &str) -> Token {
-        let sent = Sent {
+        let sent = SentInvite {
             uri: "sip:21@127.0.0.1".into(),
             via: "SIP/2.0/UDP 127.0.0.1;branch=z9hG4bKb".into(),
             from: "<sip:a@127.0.0.1>;tag=a".into(),
@@ -97,37 +97,38 @@
             cseq: 1,
             routes: Vec::new(),
         };
-        let bytes = sent.follow_up(method, &sent.to);
+        let bytes = sent.ack_or_cancel(method, &sent.to);
         let (mut outputs, to) = (Vec::new(), (self.target(), Some(Rc::new(sent))));
-        let token = self.transactions.request(self.now, method, "z9hG4bKb", bytes, to, &mut outputs);
+        let token =
+            self.transactions.send_request(self.now, method, "z9hG4bKb", bytes, to, &mut outputs);
         self.handle_output(outputs);
         token
     }
 
     /// Receives a response to a request that [`Self::send_request`] sent.
-    fn receive_response(&mut self, method: &str, status: u16) -> Taken {
+    fn receive_response(&mut self, method: &str, status: u16) -> ReceiveResult {
         let parsed =
             parse(&message::response(&parse(&request_bytes(method)).headers, status, "b", &[], ""));
         let mut outputs = Vec::new();
-        let taken = self.transactions.response(self.now, &parsed, &mut outputs);
+        let result = self.transactions.receive_response(self.now, &parsed, &mut outputs);
         self.handle_output(outputs);
-        taken
+        result
     }
 
     /// Receives a request of a peer.
-    fn receive_request(&mut self, method: Method) -> Taken {
+    fn receive_request(&mut self, method: Method) -> ReceiveResult {
         let (parsed, target, mut outputs) =
             (parse(&request_bytes(&method.to_string())), self.target(), Vec::new());
-        let taken = self.transactions.take_request(self.now, &parsed, &method, target, &mut outputs);
+        let result = self.transactions.receive_request(self.now, &parsed, &method, target, &mut outputs);
         self.handle_output(outputs);
-        taken
+        result
     }
 
     /// Sends a response in a server transaction.
     fn send_response(&mut self, token: Token, method: &str, status: u16) {
         let bytes = message::response(&parse(&request_bytes(method)).headers, status, "b", &[], "");
         let mut outputs = Vec::new();
-        self.transactions.respond(self.now, token, status, bytes, &mut outputs);
+        self.transactions.send_response(self.now, token, status, bytes, &mut outputs);
         self.handle_output(outputs);
     }
 }
@@ -170,20 +171,20 @@
     let mut harness = TransactionHarness::new(Protocol::Udp);
     let transaction = harness.send_request("INVITE");
     harness.advance(100);
-    assert_eq!(harness.receive_response("INVITE", 180), Taken::Response(transaction));
+    assert_eq!(harness.receive_response("INVITE", 180), ReceiveResult::Response(transaction));
     harness.advance(40_000);
-    assert_eq!(harness.receive_response("INVITE", 503), Taken::Response(transaction));
+    assert_eq!(harness.receive_response("INVITE", 503), ReceiveResult::Response(transaction));
     harness.advance(4000);
-    assert_eq!(harness.receive_response("INVITE", 503), Taken::Absorbed);
+    assert_eq!(harness.receive_response("INVITE", 503), ReceiveResult::Absorbed);
     harness.advance(28_000);
-    assert_eq!(harness.receive_response("INVITE", 503), Taken::Stray);
+    assert_eq!(harness.receive_response("INVITE", 503), ReceiveResult::Stray);
     insta::assert_snapshot!(harness.trace, @"0 INVITE, 40100 ACK, 44100 ACK");
 }
 
 #[test]
 fn timers_g_and_h_retransmit_a_refusal_and_time_it_out_without_an_ack() {
     let mut harness = TransactionHarness::new(Protocol::Udp);
-    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+    let ReceiveResult::Request(transaction) = harness.receive_request(Method::INVITE) else {
         panic!("not a new transaction")
     };
     harness.send_response(transaction, "INVITE", 503);
@@ -195,20 +196,20 @@
 #[test]
 fn ack_stops_timer_g_and_late_messages_are_absorbed_until_timer_i() {
     let mut harness = TransactionHarness::new(Protocol::Udp);
-    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+    let ReceiveResult::Request(transaction) = harness.receive_request(Method::INVITE) else {
         panic!("not a new transaction")
     };
     harness.send_response(transaction, "INVITE", 100);
-    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
+    assert_eq!(harness.receive_request(Method::INVITE), ReceiveResult::Absorbed);
     harness.send_response(transaction, "INVITE", 503);
     harness.advance(600);
-    assert_eq!(harness.receive_request(Method::ACK), Taken::Absorbed);
+    assert_eq!(harness.receive_request(Method::ACK), ReceiveResult::Absorbed);
     harness.advance(4900);
-    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
-    assert_eq!(harness.receive_request(Method::ACK), Taken::Absorbed);
+    assert_eq!(harness.receive_request(Method::INVITE), ReceiveResult::Absorbed);
+    assert_eq!(harness.receive_request(Method::ACK), ReceiveResult::Absorbed);
     harness.advance(200);
     assert!(
-        matches!(harness.receive_request(Method::INVITE), Taken::Request(_)),
+        matches!(harness.receive_request(Method::INVITE), ReceiveResult::Request(_)),
         "absorbed after timer I"
     );
     insta::assert_snapshot!(harness.trace, @"0 100, 0 100, 0 503, 500 503");
@@ -217,37 +218,37 @@
 #[test]
 fn after_a_2xx_invites_are_absorbed_until_timer_l_and_acks_go_to_the_dialog() {
     let mut harness = TransactionHarness::new(Protocol::Udp);
-    let Taken::Request(transaction) = harness.receive_request(Method::INVITE) else {
+    let ReceiveResult::Request(transaction) = harness.receive_request(Method::INVITE) else {
         panic!("not a new transaction")
     };
     harness.send_response(transaction, "INVITE", 200);
     harness.advance(31_000);
-    assert_eq!(harness.receive_request(Method::INVITE), Taken::Absorbed);
-    assert_eq!(harness.receive_request(Method::ACK), Taken::Ack);
+    assert_eq!(harness.receive_request(Method::INVITE), ReceiveResult::Absorbed);
+    assert_eq!(harness.receive_request(Method::ACK), ReceiveResult::Ack);
     harness.advance(2000);
-    assert!(matches!(harness.receive_request(Method::INVITE), Taken::Request(_)));
+    assert!(matches!(harness.receive_request(Method::INVITE), ReceiveResult::Request(_)));
     insta::assert_snapshot!(harness.trace, @"0 200");
 }
 
 #[test]
 fn late_messages_of_other_transactions_are_absorbed_until_timers_j_and_k() {
     let mut server = TransactionHarness::new(Protocol::Udp);
-    let Taken::Request(transaction) = server.receive_request(Method::BYE) else {
+    let ReceiveResult::Request(transaction) = server.receive_request(Method::BYE) else {
         panic!("not a new transaction")
     };
     server.send_response(transaction, "BYE", 200);
     server.advance(31_000);
-    assert_eq!(server.receive_request(Method::BYE), Taken::Absorbed);
+    assert_eq!(server.receive_request(Method::BYE), ReceiveResult::Absorbed);
     server.advance(2000);
-    assert!(matches!(server.receive_request(Method::BYE), Taken::Request(_)));
+    assert!(matches!(server.receive_request(Method::BYE), ReceiveResult::Request(_)));
     insta::assert_snapshot!(server.trace, @"0 200, 31000 200");
     let mut client = TransactionHarness::new(Protocol::Udp);
     let transaction = client.send_request("BYE");
-    assert_eq!(client.receive_response("BYE", 200), Taken::Response(transaction));
+    assert_eq!(client.receive_response("BYE", 200), ReceiveResult::Response(transaction));
     client.advance(4900);
-    assert_eq!(client.receive_response("BYE", 200), Taken::Absorbed);
+    assert_eq!(client.receive_response("BYE", 200), ReceiveResult::Absorbed);
     client.advance(200);
-    assert_eq!(client.receive_response("BYE", 200), Taken::Stray);
+    assert_eq!(client.receive_response("BYE", 200), ReceiveResult::Stray);
     insta::assert_snapshot!(client.trace, @"0 BYE");
 }
 
@@ -257,9 +258,9 @@
     let mut harness = TransactionHarness::new(Protocol::Udp);
     let transaction = harness.send_request("INVITE");
     harness.advance(600);
-    harness.transactions.hush(transaction);
+    harness.transactions.stop_retransmission(transaction);
     harness.advance(10_000);
-    assert_eq!(harness.receive_response("INVITE", 180), Taken::Response(transaction));
+    assert_eq!(harness.receive_response("INVITE", 180), ReceiveResult::Response(transaction));
     insta::assert_snapshot!(harness.trace, @"0 INVITE, 500 INVITE");
 }
 
@@ -268,13 +269,13 @@
 fn requests_beyond_the_limit_are_rejected_and_existing_transactions_continue() {
     let mut udp = TransactionHarness::new(Protocol::Udp);
     for method in [Method::INVITE, Method::OPTIONS, Method::BYE] {
-        assert!(matches!(udp.receive_request(method), Taken::Request(_)));
+        assert!(matches!(udp.receive_request(method), ReceiveResult::Request(_)));
     }
-    assert_eq!(udp.receive_request(Method::REGISTER), Taken::Full);
+    assert_eq!(udp.receive_request(Method::REGISTER), ReceiveResult::TableFull);
     assert_eq!(
         udp.receive_request(Method::INVITE),
-        Taken::Absorbed,
+        ReceiveResult::Absorbed,
         "the retransmission is not absorbed"
     );
-    assert!(matches!(udp.receive_response("INVITE", 200), Taken::Stray));
+    assert!(matches!(udp.receive_response("INVITE", 200), ReceiveResult::Stray));
 }
