--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -35,13 +35,13 @@
     /// Maximum number of file descriptors.
     pub sockets: usize,
     /// Maximum memory in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
 }
 
 impl Limits {
     /// Number of client connections from which on idle ones are closed to make room for new ones. Callers use
     /// at most a third of the descriptors; the rest of this half is for clients that are not callers.
-    pub fn idle_clients_from(&self) -> usize {
+    pub fn idle_eviction_threshold(&self) -> usize {
         self.sockets / 2
     }
 
@@ -59,56 +59,63 @@
     /// Buffer limits of a client connection. The buffers of all client connections together may use a quarter
     /// of the memory.
     pub fn client_buffer_limits(&self) -> BufferLimits {
-        let each = self.memory / 4 / self.sockets.max(1);
-        BufferLimits { max_line: lines::MAX_MESSAGE, max_buffered: each.max(2 * lines::MAX_MESSAGE) }
+        let each = self.memory_bytes / 4 / self.sockets.max(1);
+        BufferLimits {
+            max_line_bytes: lines::MAX_MESSAGE_BYTES,
+            max_buffered_bytes: each.max(2 * lines::MAX_MESSAGE_BYTES),
+        }
     }
 
     /// Buffer limits of a connection to an exchange.
     pub fn exchange_buffer_limits(&self) -> BufferLimits {
         BufferLimits {
-            max_line: lines::MAX_MESSAGE,
-            max_buffered: (self.memory / 128).max(4 * lines::MAX_MESSAGE),
+            max_line_bytes: lines::MAX_MESSAGE_BYTES,
+            max_buffered_bytes: (self.memory_bytes / 128).max(4 * lines::MAX_MESSAGE_BYTES),
         }
     }
 
     /// Buffer limits of the connection to the journal service. A line may exceed the maximum message size, as
     /// a full list is longer than a message.
     pub fn journal_buffer_limits(&self) -> BufferLimits {
-        let max_line = (self.memory / 32).clamp(4 * lines::MAX_MESSAGE, 64 * lines::MAX_MESSAGE);
-        BufferLimits { max_line, max_buffered: lines::MAX_MESSAGE }
+        let max_line_bytes =
+            (self.memory_bytes / 32).clamp(4 * lines::MAX_MESSAGE_BYTES, 64 * lines::MAX_MESSAGE_BYTES);
+        BufferLimits { max_line_bytes, max_buffered_bytes: lines::MAX_MESSAGE_BYTES }
     }
 
     /// Maximum number of operator connections. When it is reached, a silent one is closed for each new one.
-    pub fn operators(&self) -> usize {
+    pub fn max_operators(&self) -> usize {
         (self.sockets / 16).clamp(4, 32)
     }
 
     /// Buffer limits of an operator connection: both the commands and the answers are short.
     pub fn operator_buffer_limits(&self) -> BufferLimits {
-        BufferLimits { max_line: 256, max_buffered: 4 * lines::MAX_MESSAGE }
+        BufferLimits { max_line_bytes: 256, max_buffered_bytes: 4 * lines::MAX_MESSAGE_BYTES }
     }
 
     /// Maximum number of TCP connections of the SIP front.
-    pub fn sip_streams(&self) -> usize {
+    pub fn max_sip_streams(&self) -> usize {
         self.sockets / 4
     }
 
     /// Buffer limits of a SIP connection.
     pub fn sip_buffer_limits(&self) -> BufferLimits {
-        let each = self.memory / 4 / self.sockets.max(1);
-        BufferLimits { max_line: message::MAX_MESSAGE, max_buffered: each.max(2 * message::MAX_MESSAGE) }
+        let each = self.memory_bytes / 4 / self.sockets.max(1);
+        BufferLimits {
+            max_line_bytes: message::MAX_MESSAGE_BYTES,
+            max_buffered_bytes: each.max(2 * message::MAX_MESSAGE_BYTES),
+        }
     }
 
     /// Maximum number of SIP transactions, and also of SIP call legs: an eighth of the memory, at 4 KiB each,
     /// which includes the messages kept for retransmission.
-    pub fn transactions(&self) -> usize {
-        (self.memory / 8 / 4096).max(256)
+    pub fn max_transactions(&self) -> usize {
+        (self.memory_bytes / 8 / 4096).max(256)
     }
 
     /// Maximum number of calls without a final answer, over all fronts: an eighth of the memory, if each
     /// session description has the maximum message size.
-    pub fn calls(&self) -> usize {
-        (self.memory / 8 / lines::MAX_MESSAGE).max(64)
+    pub fn max_unanswered_calls(&self) -> usize {
+        (self.memory_bytes / 8 / lines::MAX_MESSAGE_BYTES).max(64)
     }
 }
 
@@ -213,13 +220,13 @@
         if let Ok(path) = std::env::var("SLATESHED_OPERATOR") {
             let to_error = |e: String| format!("SLATESHED_OPERATOR: {path}: {e}");
             let text = std::fs::read_to_string(&path).map_err(|e| to_error(e.to_string()))?;
-            config.operator(&text).map_err(to_error)?;
+            config.parse_operator_file(&text).map_err(to_error)?;
         }
         Ok(config)
     }
 
     /// Reads the operator's file, which is in TOML.
-    pub fn operator(&mut self, text: &str) -> Result<(), String> {
+    pub fn parse_operator_file(&mut self, text: &str) -> Result<(), String> {
         let root: Table = text.parse().map_err(|e: toml::de::Error| e.message().to_owned())?;
         reject_unknown_keys(&root, "", &["sip"])?;
         self.sip = match root.get("sip") {
@@ -275,7 +282,7 @@
             seed,
             limits: Limits {
                 sockets: read::count(&root, "limits.sockets")? as usize,
-                memory: read::count(&root, "limits.memory_mb")? as usize * 1024 * 1024,
+                memory_bytes: read::count(&root, "limits.memory_mb")? as usize * 1024 * 1024,
             },
             journal: lookup_address(&root, "journal")?,
             position: read::number(&root, "known.pos")? as u64,
--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -108,7 +108,7 @@
     by_tag: HashMap<String, CallToken>,
     /// Releases that wait for a connection.
     pending_releases: VecDeque<Release>,
-    /// Connections that [`Clients::reap`] ends.
+    /// Connections that [`Clients::end_connections`] ends.
     connections_to_end: Vec<(Token, EndReason)>,
     /// Connections with unread data left over from the last iteration.
     unread: Vec<Token>,
@@ -137,7 +137,7 @@
     }
 
     /// Whether a call arrived on one of these connections.
-    pub fn owns(&self, call: CallToken) -> bool {
+    pub fn has_call(&self, call: CallToken) -> bool {
         self.calls.contains_key(&call)
     }
 
@@ -180,7 +180,7 @@
             };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    if client_count >= self.limits.idle_clients_from() {
+                    if client_count >= self.limits.idle_eviction_threshold() {
                         self.evict_idle_client(cx);
                     }
                     self.add(stream, peer.ip(), cx);
@@ -307,7 +307,7 @@
     }
 
     /// Accepts the connections and reads the data left over from the last iteration.
-    pub fn read_on(&mut self, cx: &mut Context) {
+    pub fn continue_reading(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.unaccepted) {
             self.accept(cx);
         }
@@ -329,7 +329,7 @@
                 return Ok(());
             };
             client.conn.flush()?;
-            let read = client.conn.fill();
+            let read = client.conn.read_chunk();
             client.last_active_at = cx.now;
             // Process the messages received before the end of the stream.
             while let Some(text) = self.conns.get_mut(token).map_or(Ok(None), |c| c.conn.next_line())? {
@@ -425,7 +425,7 @@
             lifecycle::ClientPolicy::Close(cutoff) => self.is_kept_for_calls(token, cutoff),
             lifecycle::ClientPolicy::Refuse(_) => true,
         };
-        if refused_by_drain || self.unanswered_calls >= self.limits.calls() {
+        if refused_by_drain || self.unanswered_calls >= self.limits.max_unanswered_calls() {
             if !refused_by_drain {
                 cx.log.line(
                     cx.now,
@@ -593,7 +593,7 @@
     }
 
     /// Ends the connections that failed during a send, and closes idle ones while draining or after a takeover.
-    pub fn reap(&mut self, cx: &mut Context) {
+    pub fn end_connections(&mut self, cx: &mut Context) {
         for (token, end) in std::mem::take(&mut self.connections_to_end) {
             self.end(token, end, cx);
         }
--- a/node/src/net/conn.rs
+++ b/node/src/net/conn.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BufferLimits {
     /// Maximum bytes of one line.
-    pub max_line: usize,
+    pub max_line_bytes: usize,
     /// Maximum bytes in the send buffer, for a peer that does not read.
-    pub max_buffered: usize,
+    pub max_buffered_bytes: usize,
 }
 
 impl Conn {
@@ -85,7 +85,7 @@
     }
 
     /// Reads once and returns the number of bytes read, or 0 if no data is available yet.
-    pub fn fill(&mut self) -> Result<usize, EndReason> {
+    pub fn read_chunk(&mut self) -> Result<usize, EndReason> {
         self.compact();
         let mut chunk = [0; READ_CHUNK_BYTES];
         let read = loop {
@@ -118,7 +118,7 @@
     pub fn next_line(&mut self) -> Result<Option<Vec<u8>>, EndReason> {
         let rest = &self.input[self.consumed..];
         let end = rest.iter().position(|b| *b == b'\n');
-        if end.unwrap_or(rest.len()) > self.limits.max_line {
+        if end.unwrap_or(rest.len()) > self.limits.max_line_bytes {
             return Err(EndReason::MessageTooLong);
         }
         let line = end.map(|end| rest[..end].to_vec());
@@ -135,13 +135,13 @@
     }
 
     /// The receive buffer.
-    pub fn received(&mut self) -> &mut Vec<u8> {
+    pub fn receive_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
 
     /// Queues bytes and writes as many as the socket accepts now.
     pub fn send(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
-        if self.output.len() - self.written + bytes.len() > self.limits.max_buffered {
+        if self.output.len() - self.written + bytes.len() > self.limits.max_buffered_bytes {
             return Err(EndReason::SendBufferFull);
         }
         self.output.extend_from_slice(bytes);
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -122,7 +122,7 @@
     connections: Arena<Connection>,
     attempts: HashMap<AttemptToken, SentSetUp>,
     by_tag: HashMap<(ExchangeId, String), AttemptToken>,
-    /// Connections that [`Exchanges::reap`] ends.
+    /// Connections that [`Exchanges::end_connections`] ends.
     connections_to_end: Vec<(Token, EndReason)>,
     /// Connections with unread data left over from the last iteration.
     unread: Vec<Token>,
@@ -150,7 +150,7 @@
     }
 
     /// Whether an attempt was sent on one of these connections.
-    pub fn owns(&self, attempt: AttemptToken) -> bool {
+    pub fn has_attempt(&self, attempt: AttemptToken) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
@@ -160,7 +160,13 @@
     }
 
     /// Applies an entry of the exchange list. An exchange that is gone is removed.
-    pub fn listed(&mut self, exchange: ExchangeId, addr: SocketAddr, phase: Phase, cx: &mut Context) {
+    pub fn apply_list_entry(
+        &mut self,
+        exchange: ExchangeId,
+        addr: SocketAddr,
+        phase: Phase,
+        cx: &mut Context,
+    ) {
         if phase == Phase::Gone {
             return self.remove_exchange(exchange, cx);
         }
@@ -365,14 +371,14 @@
     }
 
     /// Handles the timeout of a partially received message.
-    pub fn partial_message_due(&mut self, token: Token, cx: &mut Context) {
+    pub fn partial_message_timeout_due(&mut self, token: Token, cx: &mut Context) {
         match self.connections.get(token).and_then(|c| c.partial_since) {
             Some(since) if cx.now >= since + PARTIAL_MESSAGE_TIMEOUT => {
                 self.end(token, EndReason::MessageIncomplete, cx)
             }
-            Some(since) => {
-                cx.timers.schedule(since + PARTIAL_MESSAGE_TIMEOUT, TimerEvent::PartialMessage(token))
-            }
+            Some(since) => cx
+                .timers
+                .schedule(since + PARTIAL_MESSAGE_TIMEOUT, TimerEvent::PartialMessageTimeout(token)),
             None => {}
         }
     }
@@ -519,7 +525,7 @@
     }
 
     /// Reads the data left over from the last iteration.
-    pub fn read_on(&mut self, cx: &mut Context) {
+    pub fn continue_reading(&mut self, cx: &mut Context) {
         for token in std::mem::take(&mut self.unread) {
             self.ready(token, cx);
         }
@@ -544,7 +550,7 @@
             let Some(connection) = self.connections.get_mut(token) else {
                 return Ok(());
             };
-            let read = connection.socket.fill();
+            let read = connection.socket.read_chunk();
             if matches!(read, Ok(n) if n > 0) {
                 self.observe_bytes(token, cx);
             }
@@ -563,8 +569,10 @@
             {
                 if connection.partial_since.is_none() {
                     connection.partial_since = Some(cx.now);
-                    cx.timers
-                        .schedule(cx.now + PARTIAL_MESSAGE_TIMEOUT, TimerEvent::PartialMessage(token));
+                    cx.timers.schedule(
+                        cx.now + PARTIAL_MESSAGE_TIMEOUT,
+                        TimerEvent::PartialMessageTimeout(token),
+                    );
                 }
             }
             if read? == 0 {
@@ -688,7 +696,7 @@
     }
 
     /// Ends the connections that failed during a send or were found silent.
-    pub fn reap(&mut self, cx: &mut Context) {
+    pub fn end_connections(&mut self, cx: &mut Context) {
         for (token, end) in std::mem::take(&mut self.connections_to_end) {
             self.end(token, end, cx);
         }
--- a/node/src/net/journal.rs
+++ b/node/src/net/journal.rs
@@ -124,7 +124,7 @@
         }
         conn.flush()?;
         loop {
-            let read = conn.fill();
+            let read = conn.read_chunk();
             while let Some(line) = conn.next_line()? {
                 self.last_received_at = cx.now;
                 if line.is_empty() {
--- a/node/src/net/lines.rs
+++ b/node/src/net/lines.rs
@@ -6,7 +6,7 @@
 use tinyjson::JsonValue;
 
 /// Maximum bytes of a message.
-pub const MAX_MESSAGE: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// Maximum nesting depth of JSON input. Messages have two levels, list events four.
 const MAX_NESTING_DEPTH: usize = 16;
 
@@ -145,7 +145,7 @@
     /// Guards against input that crashes the process: deeply nested JSON would overflow the parser's stack.
     #[test]
     fn invalid_messages_are_rejected_as_malformed() {
-        let deep_array = "[".repeat(MAX_MESSAGE);
+        let deep_array = "[".repeat(MAX_MESSAGE_BYTES);
         let deep_object = format!("{{\"verb\":{}", "{\"a\":".repeat(3000));
         for invalid in [
             "",
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -101,7 +101,7 @@
     /// A client must have sent its first message, or completed its current one, by now.
     ClientTimeout(Token),
     /// An exchange must have completed its current message by now.
-    PartialMessage(Token),
+    PartialMessageTimeout(Token),
     /// An exchange must have closed its side of a connection that this side closed.
     CloseTimeout(Token),
     /// An exchange is dialled again.
@@ -117,7 +117,7 @@
     /// The SIP front's TCP listener may accept again.
     SipAccept,
     /// A TCP connection of the SIP front must be established, or must have received data, by now.
-    SipStream(Token),
+    SipStreamTimeout(Token),
     /// The listener for operators may accept again.
     OperatorAccept,
     /// An operator must have sent its command and read the answer by now.
@@ -244,10 +244,10 @@
                 cx.log.line(now, "operators-started", format_args!("listening on {listen}"));
             }
         }
-        clients.read_on(&mut cx);
-        exchanges.read_on(&mut cx);
-        sip.iter_mut().for_each(|s| s.read_on(&mut cx));
-        operators.iter_mut().for_each(|o| o.read_on(&mut cx));
+        clients.continue_reading(&mut cx);
+        exchanges.continue_reading(&mut cx);
+        sip.iter_mut().for_each(|s| s.continue_reading(&mut cx));
+        operators.iter_mut().for_each(|o| o.continue_accepting(&mut cx));
         for event in &events {
             match SourceKind::split(event.token()) {
                 (Some(SourceKind::Listener), _) => clients.accept(&mut cx),
@@ -313,7 +313,7 @@
                     cx.engine.exchange(&listed.name).filter(|_| is_json_exchange(listed.number))
                 {
                     listed_exchanges.push(id);
-                    exchanges.listed(id, *addr, listed.phase, &mut cx);
+                    exchanges.apply_list_entry(id, *addr, listed.phase, &mut cx);
                 }
             }
             if list_event.full {
@@ -331,7 +331,9 @@
                 TimerEvent::Engine(due) => cx.engine.timer_due(now, due, cx.timers),
                 TimerEvent::ClientAccept => clients.resume_accepting(&mut cx),
                 TimerEvent::ClientTimeout(token) => clients.timeout_due(token, &mut cx),
-                TimerEvent::PartialMessage(token) => exchanges.partial_message_due(token, &mut cx),
+                TimerEvent::PartialMessageTimeout(token) => {
+                    exchanges.partial_message_timeout_due(token, &mut cx)
+                }
                 TimerEvent::CloseTimeout(token) => exchanges.close_timeout_due(token, &mut cx),
                 TimerEvent::DialTimeout(token) => exchanges.dial_timeout_due(token, &mut cx),
                 TimerEvent::Redial(exchange) => exchanges.redial_due(exchange, &mut cx),
@@ -346,7 +348,7 @@
                     sip.iter_mut().for_each(|s| s.timer_due(sip_timer, &mut cx))
                 }
                 TimerEvent::SipAccept => sip.iter_mut().for_each(|s| s.accept(&mut cx)),
-                TimerEvent::SipStream(token) => {
+                TimerEvent::SipStreamTimeout(token) => {
                     sip.iter_mut().for_each(|s| s.stream_timeout_due(token, &mut cx))
                 }
                 TimerEvent::OperatorAccept => operators.iter_mut().for_each(|o| o.accept(&mut cx)),
@@ -388,8 +390,8 @@
                     None => exchanges.execute(command, &mut cx),
                 }
             }
-            clients.reap(&mut cx);
-            exchanges.reap(&mut cx);
+            clients.end_connections(&mut cx);
+            exchanges.end_connections(&mut cx);
             sip.iter_mut().for_each(|s| s.end_failed_streams(&mut cx));
             if !cx.engine.has_commands() {
                 break;
--- a/node/src/net/operators.rs
+++ b/node/src/net/operators.rs
@@ -76,7 +76,7 @@
     }
 
     /// Accepts the connections left over from the last iteration.
-    pub fn read_on(&mut self, cx: &mut Context) {
+    pub fn continue_accepting(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.unaccepted) {
             self.accept(cx);
         }
@@ -110,7 +110,7 @@
     }
 
     fn add(&mut self, mut stream: TcpStream, cx: &mut Context) {
-        if self.conns.len() >= self.limits.operators() {
+        if self.conns.len() >= self.limits.max_operators() {
             self.evict_connection(cx);
         }
         let (registry, buffer_limits, accepted_at) =
@@ -156,10 +156,10 @@
         };
         operator.conn.flush()?;
         operator.shutdown_if_answered()?;
-        let read = operator.conn.fill();
+        let read = operator.conn.read_chunk();
         if operator.answered {
             // Discard further input until the peer closes the connection.
-            operator.conn.received().clear();
+            operator.conn.receive_buffer().clear();
             return read.map(|_| None);
         }
         let Some(line) = operator.conn.next_line()? else {
--- a/node/src/net/sip/message.rs
+++ b/node/src/net/sip/message.rs
@@ -11,7 +11,7 @@
 use std::fmt::Write;
 
 /// Maximum bytes of a message, over UDP and TCP.
-pub const MAX_MESSAGE: usize = 65_535;
+pub const MAX_MESSAGE_BYTES: usize = 65_535;
 
 /// A received message, with the header fields that every message has.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
     };
     let Some(head_length) = [end_after(b"\r\n\r\n"), end_after(b"\n\n")].into_iter().flatten().min()
     else {
-        return if input.len() > MAX_MESSAGE { Err("head is too long".into()) } else { Ok(None) };
+        return if input.len() > MAX_MESSAGE_BYTES { Err("head is too long".into()) } else { Ok(None) };
     };
     let head = std::str::from_utf8(&input[..head_length]).map_err(|_| "head is not UTF-8")?;
     let fields = head.lines().filter_map(|l| l.split_once(':'));
@@ -63,7 +63,7 @@
         None => 0,
     };
     match head_length.checked_add(body_length) {
-        Some(total_length) if total_length <= MAX_MESSAGE => {
+        Some(total_length) if total_length <= MAX_MESSAGE_BYTES => {
             Ok((input.len() >= total_length).then_some(total_length))
         }
         _ => Err("message is too long".into()),
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -124,8 +124,8 @@
     ) -> io::Result<Self> {
         let transport = Transport::bind(config.udp, config.tcp, limits, registry)?;
         Ok(Sip {
-            transactions: Transactions::new(config.times, limits.transactions()),
-            max_legs: limits.transactions(),
+            transactions: Transactions::new(config.times, limits.max_transactions()),
+            max_legs: limits.max_transactions(),
             config,
             transport,
             legs: Arena::default(),
@@ -237,7 +237,7 @@
     }
 
     /// Reads the input left over from the last iteration.
-    pub fn read_on(&mut self, cx: &mut Context) {
+    pub fn continue_reading(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.may_have_datagrams) {
             self.receive_datagrams(cx);
         }
--- a/node/src/net/sip/transport.rs
+++ b/node/src/net/sip/transport.rs
@@ -65,7 +65,7 @@
             registry.register(listener, SourceKind::SipListener.token(no_token), Interest::READABLE)?;
         }
         let (streams, failed, unread) = (Arena::default(), Vec::new(), Vec::new());
-        let datagram_buffer = vec![0; message::MAX_MESSAGE + 1];
+        let datagram_buffer = vec![0; message::MAX_MESSAGE_BYTES + 1];
         let may_have_connections = false;
         Ok(Transport {
             udp,
@@ -143,10 +143,10 @@
         cx: &mut Context,
     ) -> Option<Token> {
         let (now, registry, buffer_limits) = (cx.now, cx.registry, self.limits.sip_buffer_limits());
-        if self.streams.len() >= self.limits.sip_streams() {
+        if self.streams.len() >= self.limits.max_sip_streams() {
             self.close_silent_stream(cx);
         }
-        if self.streams.len() >= self.limits.sip_streams() {
+        if self.streams.len() >= self.limits.max_sip_streams() {
             cx.log.line(now, "sip-too-many-streams", format_args!("connection from {peer} is rejected"));
             return None;
         }
@@ -168,7 +168,7 @@
             return None;
         }
         let timeout = if is_connected { MESSAGE_TIMEOUT } else { cx.dial_timeout };
-        cx.timers.schedule(now + timeout, TimerEvent::SipStream(token));
+        cx.timers.schedule(now + timeout, TimerEvent::SipStreamTimeout(token));
         Some(token)
     }
 
@@ -185,7 +185,7 @@
         if cx.now >= due_at {
             return Some(EndReason::PeerSilent);
         }
-        cx.timers.schedule(due_at, TimerEvent::SipStream(token));
+        cx.timers.schedule(due_at, TimerEvent::SipStreamTimeout(token));
         None
     }
 
@@ -208,8 +208,8 @@
                 Ok(false) => break None,
                 Err(end_reason) => break Some(end_reason),
             }
-            let read_result = stream.conn.flush().and_then(|()| stream.conn.fill());
-            let input = stream.conn.received();
+            let read_result = stream.conn.flush().and_then(|()| stream.conn.read_chunk());
+            let input = stream.conn.receive_buffer();
             // Line ends between messages are keep-alives and are skipped.
             loop {
                 let blank_bytes = input.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
@@ -232,7 +232,7 @@
         // An incomplete message must be completed within the timeout.
         if stream.is_in_use && stream.awaiting_since.is_none() && stream.conn.has_partial_line() {
             stream.awaiting_since = Some(now);
-            cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::SipStream(token));
+            cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::SipStreamTimeout(token));
         }
         (messages, end_reason)
     }
--- a/node/tests/clients.rs
+++ b/node/tests/clients.rs
@@ -20,7 +20,7 @@
         (0..100).map(|_| TcpStream::connect(addr).expect("the connection is queued")).collect();
     clients.accept(&mut fixture.context());
     assert!(clients.has_unread(), "the first turn accepted all connections");
-    clients.read_on(&mut fixture.context());
+    clients.continue_reading(&mut fixture.context());
     assert!(!clients.has_unread(), "the next turn did not accept the rest");
     drop(flood);
 }
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -49,7 +49,7 @@
         self.with_context(|exchanges, cx| {
             cx.engine.update_list(cx.now, false, &entries, cx.timers);
             let id = cx.engine.exchange("s-1").expect("the exchange is listed");
-            exchanges.listed(id, addr, phase, cx);
+            exchanges.apply_list_entry(id, addr, phase, cx);
         });
         self.execute_commands();
     }
