--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -404,11 +404,11 @@
         "OK" => Outcome::Ended,
         "INTERNAL" if note == 4 => Outcome::NumberBusy,
         "INTERNAL" => Outcome::Fault,
-        // `note` modulo 16 is the reason. The rest tells for a tandem's refusal whether the far processor was full, and
-        // for a full processor how many milliseconds it asks to wait.
+        // `note` modulo 16 is the reason. The rest says for a tandem's refusal whether the destination's
+        // processor was full, and for a full processor how many milliseconds it asks to wait.
         "RESOURCE_EXHAUSTED" => match note % 16 {
             1 => Outcome::NoCircuit,
-            2 if note >= 16 => Outcome::FarProcessorFull,
+            2 if note >= 16 => Outcome::DestinationProcessorFull,
             2 => Outcome::TandemRefused,
             _ => Outcome::ProcessorFull((note >= 16).then(|| Duration::from_millis(note / 16))),
         },
@@ -418,7 +418,7 @@
         "CANCELLED" => Outcome::Cancelled,
         "TOO_LATE" => match note {
             1 => Outcome::NoCircuit,
-            3 => Outcome::OwnProcessorDown,
+            3 => Outcome::LocalProcessorDown,
             _ => Outcome::NotSent,
         },
         _ => return Err(line.invalid("rc")),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -26,7 +26,7 @@
     /// Whether the event contains the full list.
     pub full: bool,
     /// The entries, each with the address of the exchange.
-    pub lines: Vec<(NamedEntry, SocketAddr)>,
+    pub entries: Vec<(NamedEntry, SocketAddr)>,
 }
 
 /// The resource limits of the process, and the limits of its tables and buffers that are derived from them.
@@ -409,7 +409,7 @@
     let position = read::number(event, "pos")? as u64;
     let full = read::lookup(event, "hosts.full").and_then(JsonValue::get::<bool>).copied();
     let full = full.ok_or("hosts.full is not a boolean")?;
-    let mut lines = Vec::new();
+    let mut entries = Vec::new();
     for server in read::list(event, "hosts.servers")? {
         let phase = match read::text(server, "state")? {
             "in_service" => Phase::InService,
@@ -424,14 +424,14 @@
             }
             None => Duration::ZERO,
         };
-        let listed = NamedEntry {
+        let entry = NamedEntry {
             name: read::text(server, "id")?.to_owned(),
             number: ExchangeNumber(read::count(server, "cell")?),
             zone: zones.iter().position(|z| z == zone).unwrap_or(zones.len()) as u32,
             phase,
             started_at,
         };
-        lines.push((listed, lookup_address(server, "addr")?));
+        entries.push((entry, lookup_address(server, "addr")?));
     }
-    Ok(ListEvent { position, full, lines })
+    Ok(ListEvent { position, full, entries })
 }
--- a/node/src/end.rs
+++ b/node/src/end.rs
@@ -46,11 +46,11 @@
     /// The tandem refused the call.
     TandemRefused,
     /// The tandem refused the call because the destination's processor was full.
-    FarProcessorFull,
+    DestinationProcessorFull,
     /// The processor was full; with the waiting time that it stated, if any.
     ProcessorFull(Option<Duration>),
     /// The processor of the local exchange is down.
-    OwnProcessorDown,
+    LocalProcessorDown,
     /// All lines of the number are busy.
     NumberBusy,
     /// A signalling fault.
@@ -85,9 +85,9 @@
             EndReason::Ended => Outcome::Ended,
             EndReason::NoCircuit => Outcome::NoCircuit,
             EndReason::TandemRefused => Outcome::TandemRefused,
-            EndReason::FarProcessorFull => Outcome::FarProcessorFull,
+            EndReason::DestinationProcessorFull => Outcome::DestinationProcessorFull,
             EndReason::ProcessorFull(wait) => Outcome::ProcessorFull(wait),
-            EndReason::OwnProcessorDown => Outcome::OwnProcessorDown,
+            EndReason::LocalProcessorDown => Outcome::LocalProcessorDown,
             EndReason::NumberBusy => Outcome::NumberBusy,
             EndReason::Fault => Outcome::Fault,
         }
@@ -121,9 +121,9 @@
             EndReason::Ended => "ended",
             EndReason::NoCircuit => "no circuit",
             EndReason::TandemRefused => "turned back",
-            EndReason::FarProcessorFull => "far processor full",
+            EndReason::DestinationProcessorFull => "far processor full",
             EndReason::ProcessorFull(_) => "processor full",
-            EndReason::OwnProcessorDown => "own processor down",
+            EndReason::LocalProcessorDown => "own processor down",
             EndReason::NumberBusy => "number busy",
             EndReason::Fault => "fault",
             EndReason::Dropped => "cut",
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -3,8 +3,8 @@
 //!
 //! The engine owns the [`Controller`] and carries out its decisions. It enforces the rules that hold for
 //! every protocol front, whatever the controller decides or a front reports: each call gets one final answer,
-//! before its caller gives up; each call has at most one pending attempt; the release delay passes before a
-//! call is set up again; and an exchange that is draining or gone gets no new set-up.
+//! before its caller abandons the call; each call has at most one pending attempt; the release delay passes
+//! before a call is set up again; and an exchange that is draining or gone gets no new set-up.
 
 mod liveness;
 
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The final answer is written at least this long before the caller gives up.
+/// The final answer is written at least this long before the caller abandons the call.
 const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(25);
 /// A pending direct set-up (one that was sent to the destination itself, not to a tandem) is cancelled once
 /// this many direct set-ups that were sent later have been answered. A processor answers set-ups one at a
@@ -45,7 +45,7 @@
     /// The name of the class.
     pub class: String,
     /// The dialled number, as the caller wrote it.
-    pub key: String,
+    pub dialled_text: String,
     /// The caller's session description.
     pub description: String,
 }
@@ -307,7 +307,7 @@
     }
 
     /// Number of exchanges that are tracked.
-    pub fn known_exchanges(&self) -> usize {
+    pub fn tracked_exchanges(&self) -> usize {
         self.exchanges.len().max(self.names.len())
     }
 
@@ -345,22 +345,22 @@
     }
 
     /// The exchange of this name, if it is known.
-    pub fn exchange(&self, name: &str) -> Option<ExchangeId> {
+    pub fn exchange_id(&self, name: &str) -> Option<ExchangeId> {
         self.names.get(name).copied()
     }
 
     /// The name of an exchange; `?` if it is not known.
-    pub fn name(&self, exchange: ExchangeId) -> &str {
+    pub fn exchange_name(&self, exchange: ExchangeId) -> &str {
         self.exchanges.get(&exchange).map_or("?", |e| &e.name)
     }
 
     /// The number that an exchange serves.
-    pub fn number(&self, exchange: ExchangeId) -> Option<ExchangeNumber> {
+    pub fn exchange_number(&self, exchange: ExchangeId) -> Option<ExchangeNumber> {
         self.exchanges.get(&exchange).map(|e| e.number)
     }
 
     /// Starts a graceful shutdown: every call without a final answer gets one at `by` at the latest.
-    pub fn stop<D: From<EngineTimer>>(&mut self, by: Duration, timers: &mut TimerQueue<D>) {
+    pub fn begin_shutdown<D: From<EngineTimer>>(&mut self, by: Duration, timers: &mut TimerQueue<D>) {
         self.stop_by = Some(by);
         for (token, _) in self.calls.iter() {
             timers.schedule(by, EngineTimer::AnswerDeadline(CallToken(token)).into());
@@ -529,7 +529,7 @@
         *self.releases.entry(why.name()).or_default() += 1;
         let call = self.calls.get(state.call.0).map_or(String::new(), |c| c.info.id.clone());
         let (exchange, duration) =
-            (self.name(state.exchange).to_owned(), now.saturating_sub(state.answered_at));
+            (self.exchange_name(state.exchange).to_owned(), now.saturating_sub(state.answered_at));
         self.log_events.push_back(LogEvent::Released { call, exchange, why, duration });
     }
 
@@ -554,43 +554,43 @@
         &mut self,
         now: Duration,
         full: bool,
-        lines: &[NamedEntry],
+        entries: &[NamedEntry],
         timers: &mut TimerQueue<D>,
     ) {
         let mut dropped = Vec::new();
-        let mut entries = Vec::with_capacity(lines.len());
+        let mut list_entries = Vec::with_capacity(entries.len());
         if full {
-            for (id, entry) in &mut self.exchanges {
-                if !lines.iter().any(|l| l.name == entry.name) && entry.phase != Phase::Gone {
-                    entry.phase = Phase::Gone;
+            for (id, exchange) in &mut self.exchanges {
+                if !entries.iter().any(|e| e.name == exchange.name) && exchange.phase != Phase::Gone {
+                    exchange.phase = Phase::Gone;
                     dropped.push((*id, Duration::MAX));
                 }
             }
         }
-        for line in lines {
+        for entry in entries {
             let next = ExchangeId(self.next_exchange);
-            self.log_list_change(line);
-            let id = *self.names.entry(line.name.clone()).or_insert(next);
+            self.log_list_change(entry);
+            let id = *self.names.entry(entry.name.clone()).or_insert(next);
             self.next_exchange += u32::from(id == next);
-            let entry = self.exchanges.entry(id).or_insert_with(|| Exchange {
-                name: line.name.clone(),
-                number: line.number,
-                phase: line.phase,
-                started_at: line.started_at,
+            let exchange = self.exchanges.entry(id).or_insert_with(|| Exchange {
+                name: entry.name.clone(),
+                number: entry.number,
+                phase: entry.phase,
+                started_at: entry.started_at,
                 liveness: Liveness::default(),
                 is_review_scheduled: false,
             });
             // A restarted process has lost the calls that were established before its start; an exchange that
             // is withdrawn from the list has lost all.
-            if line.phase == Phase::Gone {
+            if entry.phase == Phase::Gone {
                 dropped.push((id, Duration::MAX));
-            } else if line.started_at > entry.started_at {
-                dropped.push((id, line.started_at));
+            } else if entry.started_at > exchange.started_at {
+                dropped.push((id, entry.started_at));
             }
-            (entry.phase, entry.started_at) = (line.phase, line.started_at);
-            entries.push(line.entry(id));
+            (exchange.phase, exchange.started_at) = (entry.phase, entry.started_at);
+            list_entries.push(entry.to_list_entry(id));
         }
-        let list = if full { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
+        let list = if full { ListUpdate::Full(list_entries) } else { ListUpdate::Delta(list_entries) };
         self.pending.push_back(Event::List(list));
         for (id, answered_until) in dropped {
             self.drop_calls(now, id, answered_until, timers);
@@ -598,13 +598,13 @@
         self.handle_pending(now, timers);
     }
 
-    /// Logs a line of the list that changes the phase of an exchange or reports its restart.
-    fn log_list_change(&mut self, line: &NamedEntry) {
-        let known = self.names.get(&line.name).and_then(|id| self.exchanges.get(id));
+    /// Logs an entry of the list that changes the phase of an exchange or reports its restart.
+    fn log_list_change(&mut self, entry: &NamedEntry) {
+        let known = self.names.get(&entry.name).and_then(|id| self.exchanges.get(id));
         let from = known.map(|e| e.phase);
-        let restarted = known.is_some_and(|e| line.started_at > e.started_at);
-        if from != Some(line.phase) || restarted {
-            let (exchange, to) = (line.name.clone(), line.phase);
+        let restarted = known.is_some_and(|e| entry.started_at > e.started_at);
+        if from != Some(entry.phase) || restarted {
+            let (exchange, to) = (entry.name.clone(), entry.phase);
             self.log_events.push_back(LogEvent::PhaseChanged { exchange, from, to, restarted });
         }
     }
@@ -858,10 +858,10 @@
         let (info, destination, after) = (Rc::clone(&call.info), call.destination, call.last_end);
         if number > 0 {
             self.retries += 1;
-            let (call, exchange) = (info.id.clone(), self.name(exchange).to_owned());
+            let (call, exchange) = (info.id.clone(), self.exchange_name(exchange).to_owned());
             self.log_events.push_back(LogEvent::Retried { call, exchange, attempt: number, after });
         }
-        let is_direct = self.number(exchange) == Some(destination);
+        let is_direct = self.exchange_number(exchange) == Some(destination);
         let attempt = Attempt {
             call: token,
             exchange,
--- a/node/src/engine/liveness.rs
+++ b/node/src/engine/liveness.rs
@@ -115,7 +115,7 @@
         entry.liveness.record_failure_sign(observation);
         self.adverse_observations += 1;
         if self.has_established_calls(exchange) {
-            let exchange = self.name(exchange).to_owned();
+            let exchange = self.exchange_name(exchange).to_owned();
             self.log_events.push_back(LogEvent::Suspected { exchange, observation, silent_for });
         }
     }
@@ -159,7 +159,7 @@
     }
 
     /// The process that answered an established attempt.
-    pub fn incarnation(&self, attempt: AttemptToken) -> Option<Incarnation> {
+    pub fn answering_incarnation(&self, attempt: AttemptToken) -> Option<Incarnation> {
         self.attempts.get(attempt.0).filter(|a| a.is_established).map(|a| a.incarnation)
     }
 
@@ -243,7 +243,7 @@
             .filter(|(_, a)| self.group_id(exchange, a.incarnation) == incarnation)
             .map(|(token, _)| AttemptToken(token))
             .collect();
-        let (name, calls) = (self.name(exchange).to_owned(), attempts.len());
+        let (name, calls) = (self.exchange_name(exchange).to_owned(), attempts.len());
         self.log_events.push_back(LogEvent::ExchangeDead { exchange: name, calls, silent_for });
         self.connection_requests.push_back(ConnectionRequest::Abandon(exchange, incarnation));
         for attempt in attempts {
--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -693,7 +693,7 @@
         origin,
         info: Rc::new(CallInfo {
             class: message.opt("class").to_owned(),
-            key: key.to_owned(),
+            dialled_text: key.to_owned(),
             description: message.blob.ok_or("blob")?,
             id: message.tag,
         }),
--- a/node/src/net/exchanges/liveness.rs
+++ b/node/src/net/exchanges/liveness.rs
@@ -50,7 +50,7 @@
         let Some(old_connection) = self.longest_idle_connection(exchange, incarnation, cx) else {
             return;
         };
-        let name = cx.engine.name(exchange);
+        let name = cx.engine.exchange_name(exchange);
         cx.log.line(cx.now, "exchange-checked", format_args!("exchange={name} several={several}"));
         // The exchange may have dropped an idle connection, and a connection that is only assumed to lead to
         // the process proves nothing about it.
@@ -277,7 +277,7 @@
         let connections = self.peers.get(&exchange).map_or(Vec::new(), |p| p.connections.clone());
         let silent_connections: Vec<_> =
             connections.into_iter().filter(|t| is_silent_since(*t, sent.sent_at)).collect();
-        let name = cx.engine.name(exchange);
+        let name = cx.engine.exchange_name(exchange);
         let details =
             format_args!("exchange={name} call={} closes={}", sent.info.id, silent_connections.len());
         cx.log.line(cx.now, "exchange-silent", details);
@@ -295,7 +295,7 @@
     /// regardless of the connection on which it arrives.
     pub(super) fn observe_call_message(&self, attempt: crate::engine::AttemptToken, cx: &mut Context) {
         let exchange = self.attempts.get(&attempt).map(|s| s.exchange);
-        if let Some((exchange, incarnation)) = exchange.zip(cx.engine.incarnation(attempt)) {
+        if let Some((exchange, incarnation)) = exchange.zip(cx.engine.answering_incarnation(attempt)) {
             cx.engine.record_activity(cx.now, exchange, incarnation);
         }
     }
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -131,7 +131,7 @@
 /// Encodes a set-up for an exchange.
 fn encode_set_up(info: &CallInfo, wait: Duration) -> Vec<u8> {
     let left = wait.as_millis().to_string();
-    let opts = [("class", info.class.as_str()), ("key", &info.key), ("left", &left)];
+    let opts = [("class", info.class.as_str()), ("key", &info.dialled_text), ("left", &left)];
     encode_message("START", &info.id, &opts, None, Some(&info.description))
 }
 
@@ -297,7 +297,7 @@
     fn dial(&mut self, exchange: ExchangeId, cx: &mut Context) -> Option<Token> {
         let addr = self.peers.get(&exchange)?.addr;
         let log_failure = |cx: &mut Context, end: EndReason| {
-            let name = cx.engine.name(exchange);
+            let name = cx.engine.exchange_name(exchange);
             cx.log.line(cx.now, "exchange-unreachable", format_args!("{name}: {end}"));
         };
         let mut stream = match TcpStream::connect(addr) {
@@ -714,7 +714,7 @@
             peer.connections.retain(|t| *t != token);
         }
         if end != EndReason::ClosedLocally {
-            let (name, open) = (cx.engine.name(exchange), connection.unanswered.len());
+            let (name, open) = (cx.engine.exchange_name(exchange), connection.unanswered.len());
             cx.log.line(cx.now, "exchange-ended", format_args!("{name}: {end}, {open} open"));
         }
         self.observe_end(&connection, was_active, end, cx);
@@ -770,11 +770,11 @@
         _ if is_established => EndReason::Dropped,
         (Some(34), "group_full") => EndReason::NoCircuit,
         (Some(34), "tandem_refused") => EndReason::TandemRefused,
-        (Some(34), "destination_full") => EndReason::FarProcessorFull,
+        (Some(34), "destination_full") => EndReason::DestinationProcessorFull,
         (Some(34), _) => EndReason::ProcessorFull(None),
         (Some(17 | 47), "user_busy") => EndReason::NumberBusy,
         (Some(102), "group_full") => EndReason::NoCircuit,
-        (Some(102), "processor_full") => EndReason::OwnProcessorDown,
+        (Some(102), "processor_full") => EndReason::LocalProcessorDown,
         (Some(102), _) => EndReason::NotSent,
         (Some(41), _) => EndReason::Dropped,
         _ => EndReason::Fault,
--- a/node/src/net/lifecycle.rs
+++ b/node/src/net/lifecycle.rs
@@ -9,10 +9,10 @@
 /// Delay between the start of a drain and the refusal of set-ups. Calls in transit keep arriving until then,
 /// because the other controllers are not notified of a drain.
 const DRAIN_REFUSE_DELAY: Duration = Duration::from_millis(1800);
-/// Time for which connections and set-ups keep arriving after a planned stop is requested.
+/// Time for which connections and set-ups keep arriving after a graceful shutdown is requested.
 const MIN_STOP_TIME: Duration = Duration::from_millis(800);
-/// Upper limit of the longest deadline that a planned stop allows for. The platform kills the process 0.7 s
-/// after this deadline, counted from the stop request. The three delays below are counted from the same
+/// Upper limit of the longest deadline that a graceful shutdown allows for. The platform kills the process
+/// 0.7 s after this deadline, counted from the stop request. The three delays below are counted from the same
 /// deadline.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// When all calls must have been answered.
@@ -62,16 +62,16 @@
         self.draining_since = None;
     }
 
-    /// Starts a planned stop and returns the time by which all calls must be answered, or `None` if a stop
-    /// was requested before. `replaced`: another process serves on the same listening socket.
-    pub fn stop(&mut self, now: Duration, replaced: bool) -> Option<Duration> {
+    /// Starts a graceful shutdown and returns the time by which all calls must be answered, or `None` if it was
+    /// requested before. `replaced`: another process serves on the same listening socket.
+    pub fn begin_shutdown(&mut self, now: Duration, replaced: bool) -> Option<Duration> {
         let first = self.stopping_since.is_none();
         self.replaced = if first { replaced } else { self.replaced };
         self.stopping_since.get_or_insert(now);
         first.then_some(now + self.deadline + STOP_ANSWER_DELAY)
     }
 
-    /// Whether a planned stop was requested.
+    /// Whether a graceful shutdown was requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.is_some()
     }
@@ -109,27 +109,27 @@
         drain_steps.chain(stop_steps.into_iter().flatten()).filter(|at| *at > now).min()
     }
 
-    /// During a planned stop: whether no more connections and set-ups are expected, so that the process may
-    /// exit once all calls are finished and all data is written.
+    /// During a graceful shutdown: whether no more connections and set-ups are expected, so that the process
+    /// may exit once all calls are finished and all data is written.
     pub fn may_end(&self, now: Duration) -> bool {
         self.stopping_since.is_some_and(|at| now >= at + MIN_STOP_TIME)
     }
 
-    /// During a planned stop: whether this side ends the SIP dialogs, early enough to receive the peers'
+    /// During a graceful shutdown: whether this side ends the SIP dialogs, early enough to receive the peers'
     /// responses.
     pub fn ends_dialogs(&self, now: Duration) -> bool {
         let wait = if self.replaced { MIN_STOP_TIME } else { self.deadline };
         self.stopping_since.is_some_and(|at| now >= at + wait)
     }
 
-    /// During a planned stop: whether established calls are abandoned. Until then their releases are
+    /// During a graceful shutdown: whether established calls are abandoned. Until then their releases are
     /// forwarded, unless another process has taken over the clients.
     pub fn abandons_calls(&self, now: Duration) -> bool {
         let wait = if self.replaced { MIN_STOP_TIME } else { self.deadline + STOP_ABANDON_DELAY };
         self.stopping_since.is_some_and(|at| now >= at + wait)
     }
 
-    /// During a planned stop: whether the process exits at once, even with unwritten data.
+    /// During a graceful shutdown: whether the process exits at once, even with unwritten data.
     pub fn must_end(&self, now: Duration) -> bool {
         self.stopping_since.is_some_and(|at| now >= at + self.deadline + STOP_EXIT_DELAY)
     }
@@ -175,7 +175,8 @@
         for replaced in [true, false] {
             let mut lifecycle = Lifecycle::new(at(9000));
             assert!(
-                lifecycle.stop(at(1000), replaced).is_some() && lifecycle.stop(at(2000), true).is_none()
+                lifecycle.begin_shutdown(at(1000), replaced).is_some()
+                    && lifecycle.begin_shutdown(at(2000), true).is_none()
             );
             assert_eq!(lifecycle.yields_listener(), replaced);
             assert!(
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -165,8 +165,8 @@
     }
 }
 
-/// Runs the call controller until a planned stop is complete. `read` reads the configuration: once at the
-/// start, and again at each SIGHUP.
+/// Runs the call controller until a graceful shutdown is complete. `read` reads the configuration: once at
+/// the start, and again at each SIGHUP.
 pub fn run(read: impl Fn() -> Result<Config, String>) -> Result<(), String> {
     serve(read()?, read).map_err(|e| e.to_string())
 }
@@ -275,12 +275,13 @@
                                     cx.log.line(now, "reload-failed", e);
                                 }
                             }
-                        } else if let Some(answer_deadline) =
-                            cx.lifecycle.stop(now, pid_file.as_ref().is_some_and(PidFile::is_taken_over))
+                        } else if let Some(answer_deadline) = cx
+                            .lifecycle
+                            .begin_shutdown(now, pid_file.as_ref().is_some_and(PidFile::is_taken_over))
                         {
                             let unanswered = cx.engine.unanswered_calls();
                             cx.log.line(now, "stopping", format_args!("{unanswered} answers owed"));
-                            cx.engine.stop(answer_deadline, cx.timers);
+                            cx.engine.begin_shutdown(answer_deadline, cx.timers);
                             if cx.lifecycle.yields_listener() {
                                 clients.close_listener(&mut cx);
                             }
@@ -303,17 +304,17 @@
             }
         }
         for list_event in list_events.drain(..) {
-            let lines: Vec<_> = list_event.lines.iter().map(|(l, _)| l.clone()).collect();
-            cx.engine.update_list(now, list_event.full, &lines, cx.timers);
+            let entries: Vec<_> = list_event.entries.iter().map(|(entry, _)| entry.clone()).collect();
+            cx.engine.update_list(now, list_event.full, &entries, cx.timers);
             let is_served_by_sip = |n| sip.as_ref().is_some_and(|s| s.reaches_exchange(n));
             let is_json_exchange = |n: ExchangeNumber| Some(n) != local && !is_served_by_sip(n);
             let mut listed_exchanges = Vec::new();
-            for (listed, addr) in &list_event.lines {
+            for (entry, addr) in &list_event.entries {
                 if let Some(id) =
-                    cx.engine.exchange(&listed.name).filter(|_| is_json_exchange(listed.number))
+                    cx.engine.exchange_id(&entry.name).filter(|_| is_json_exchange(entry.number))
                 {
                     listed_exchanges.push(id);
-                    exchanges.apply_list_entry(id, *addr, listed.phase, &mut cx);
+                    exchanges.apply_list_entry(id, *addr, entry.phase, &mut cx);
                 }
             }
             if list_event.full {
@@ -323,7 +324,7 @@
             cx.log.line(
                 now,
                 "list",
-                format_args!("event {}, {} lines", list_event.position, lines.len()),
+                format_args!("event {}, {} lines", list_event.position, entries.len()),
             );
         }
         while let Some(due) = cx.timers.pop_due(now) {
@@ -365,7 +366,7 @@
         }
         loop {
             while let Some(request) = cx.engine.next_connection_request() {
-                let number = cx.engine.number(request.exchange());
+                let number = cx.engine.exchange_number(request.exchange());
                 match sip.as_mut().filter(|s| number.is_some_and(|n| s.reaches_exchange(n))) {
                     Some(sip) => sip.handle_connection_request(request, &mut cx),
                     None => exchanges.handle_connection_request(request, &mut cx),
@@ -373,7 +374,7 @@
             }
             while let Some(command) = cx.engine.next_command() {
                 let number = match &command {
-                    Command::SetUp { exchange, .. } => cx.engine.number(*exchange),
+                    Command::SetUp { exchange, .. } => cx.engine.exchange_number(*exchange),
                     _ => None,
                 };
                 let is_sip_command = |s: &&mut Sip| match &command {
--- a/node/src/net/sip/checks.rs
+++ b/node/src/net/sip/checks.rs
@@ -36,7 +36,7 @@
         let Some(leg_token) = leg_token.filter(|_| cx.wire.may_probe) else {
             return;
         };
-        let name = cx.engine.name(exchange);
+        let name = cx.engine.exchange_name(exchange);
         cx.log.line(cx.now, "exchange-checked", format_args!("exchange={name} by=OPTIONS"));
         cx.engine.check_started(cx.now, exchange, true);
         self.send_options(leg_token, cx);
--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -84,7 +84,7 @@
         let (local_tag, call_id, local_address) =
             (self.random_id(), self.random_id(), self.local_address(next_hop.protocol));
         let contact = self.local_contact(next_hop.protocol);
-        let uri = format!("sip:{}@{}", info.key, next_hop.addr);
+        let uri = format!("sip:{}@{}", info.dialled_text, next_hop.addr);
         let dialog = Dialog {
             call_id: format!("{call_id}@{local_address}"),
             local_party: format!("<sip:{local_address}>;tag={local_tag}"),
--- a/node/src/net/sip/incoming.rs
+++ b/node/src/net/sip/incoming.rs
@@ -155,7 +155,7 @@
             info: Rc::new(CallInfo {
                 id: self.random_id(),
                 class: plan_entry.class.clone(),
-                key: called_number,
+                dialled_text: called_number,
                 description: description.to_owned(),
             }),
         };
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -168,8 +168,8 @@
         self.transport.is_flushed() && !self.transactions.has_pending_requests()
     }
 
-    /// Ends all dialogs at a planned stop: once this front has stopped, the end of a call could no longer be passed
-    /// on from one leg to the other.
+    /// Ends all dialogs at a graceful shutdown: once this front has stopped, the end of a call could no longer be
+    /// passed on from one leg to the other.
     pub fn end_dialogs(&mut self, cx: &mut Context) {
         let has_dialog = |leg: &Leg| matches!(leg.state, LegState::AwaitingAck | LegState::Confirmed);
         let legs: Vec<_> = self
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -62,9 +62,9 @@
 /// A call to exchange 1, as a front passes it to the engine.
 pub fn incoming_call(patience: Duration) -> IncomingCall {
     let owned = |text: &str| text.to_owned();
-    let (id, class, key, description) = (owned("id"), owned("voice"), owned("7"), owned("v=0"));
+    let (id, class, dialled_text, description) = (owned("id"), owned("voice"), owned("7"), owned("v=0"));
     IncomingCall {
-        info: Rc::new(CallInfo { id, class, key, description }),
+        info: Rc::new(CallInfo { id, class, dialled_text, description }),
         class: 0,
         dialled: DialledNumber(7),
         patience,
--- a/node/tests/engine.rs
+++ b/node/tests/engine.rs
@@ -51,7 +51,7 @@
     }
 
     fn exchange(&self, number: u32) -> ExchangeId {
-        self.engine.exchange(&format!("s-{number}")).expect("the exchange is listed")
+        self.engine.exchange_id(&format!("s-{number}")).expect("the exchange is listed")
     }
 
     /// Starts a call to exchange 1 whose caller waits this long for an answer.
@@ -235,12 +235,12 @@
     let exchange = harness.exchange(1);
     let call = harness.new_call(9000);
     harness.expect_only_set_up();
-    harness.engine.stop(harness.now + ms(700), &mut harness.timers);
+    harness.engine.begin_shutdown(harness.now + ms(700), &mut harness.timers);
     harness.advance(701);
     assert!(
         matches!(harness.take_commands()[..], [Command::CancelAttempt(_), Command::Refuse(c, _)] if c == call)
     );
-    assert_eq!((harness.engine.unanswered_calls(), harness.engine.name(exchange)), (0, "s-1"));
+    assert_eq!((harness.engine.unanswered_calls(), harness.engine.exchange_name(exchange)), (0, "s-1"));
 }
 
 /// Guards against a call that waits for a lost answer until its time is used up, although set-ups that were sent later
@@ -284,19 +284,19 @@
     };
     harness.update_list(&[(1, Phase::Gone)], false, ms(0));
     harness.engine.remove_gone();
-    assert_eq!(harness.engine.known_exchanges(), 3, "an exchange with a pending attempt was removed");
+    assert_eq!(harness.engine.tracked_exchanges(), 3, "an exchange with a pending attempt was removed");
     harness.end_attempt(attempt, EndReason::PeerClosed);
     for number in 10..200 {
         harness.update_list(&[(number, Phase::InService)], false, ms(0));
-        assert!(harness.engine.exchange(&format!("s-{number}")).is_some());
+        assert!(harness.engine.exchange_id(&format!("s-{number}")).is_some());
         harness.update_list(&[(number, Phase::Gone)], false, ms(0));
         harness.engine.remove_gone();
     }
-    assert_eq!(harness.engine.known_exchanges(), 2);
+    assert_eq!(harness.engine.tracked_exchanges(), 2);
     harness.update_list(&[(0, Phase::InService)], true, ms(0));
     harness.engine.remove_gone();
     assert_eq!(
-        harness.engine.known_exchanges(),
+        harness.engine.tracked_exchanges(),
         1,
         "an exchange missing from a full list was not removed"
     );
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -48,7 +48,7 @@
         let (addr, entries) = (self.addr, [entry(0, Phase::InService), entry(1, phase)]);
         self.with_context(|exchanges, cx| {
             cx.engine.update_list(cx.now, false, &entries, cx.timers);
-            let id = cx.engine.exchange("s-1").expect("the exchange is listed");
+            let id = cx.engine.exchange_id("s-1").expect("the exchange is listed");
             exchanges.apply_list_entry(id, addr, phase, cx);
         });
         self.execute_commands();
--- a/plugin/src/directory.rs
+++ b/plugin/src/directory.rs
@@ -45,7 +45,7 @@
         let mut entries = Vec::with_capacity(named_entries.len());
         for named in named_entries {
             let id = self.id_of(named);
-            entries.push(named.entry(id));
+            entries.push(named.to_list_entry(id));
             if let Some(exchange) = self.exchanges.get_mut(&id) {
                 if named.phase == Phase::Gone || named.started_at > exchange.started_at {
                     terminated.push(id);
--- a/src/control.rs
+++ b/src/control.rs
@@ -772,7 +772,7 @@
                     peer.free = Some(0);
                 }
             }
-            Outcome::TandemRefused | Outcome::FarProcessorFull => {
+            Outcome::TandemRefused | Outcome::DestinationProcessorFull => {
                 // Concerns the second leg, not the tandem's processor, which did answer.
                 let tandem = self.peers.get(&exchange).map_or(destination, |p| p.number);
                 let group = self.remote_groups.entry(group_key(tandem, destination)).or_default();
@@ -794,7 +794,7 @@
             }
             Outcome::Cancelled => await_release = true,
             Outcome::NotSent => {}
-            Outcome::OwnProcessorDown => retry = false,
+            Outcome::LocalProcessorDown => retry = false,
             Outcome::Fault | Outcome::Disconnected => {
                 self.record_failure(exchange, sent_at, (delay, penalty), end.outcome == Outcome::Fault);
                 await_release = end.outcome == Outcome::Disconnected;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -244,7 +244,7 @@
 
 impl NamedEntry {
     /// Converts the entry for the controller, which knows the processor by the id that the host assigns.
-    pub fn entry(&self, exchange: ExchangeId) -> ListEntry {
+    pub fn to_list_entry(&self, exchange: ExchangeId) -> ListEntry {
         ListEntry {
             exchange,
             number: self.number,
@@ -312,7 +312,7 @@
     /// The tandem refused the call.
     TandemRefused,
     /// The tandem refused the call because the destination's processor was full.
-    FarProcessorFull,
+    DestinationProcessorFull,
     /// The processor was full; with the retry-after from its answer, if there was one.
     ProcessorFull(Option<Duration>),
     /// All lines of the dialled number are busy.
@@ -333,7 +333,7 @@
     /// The set-up was not sent.
     NotSent,
     /// The set-up was not sent because the local processor is down.
-    OwnProcessorDown,
+    LocalProcessorDown,
 }
 
 impl Outcome {
@@ -341,8 +341,8 @@
     pub fn proves_not_run(self) -> bool {
         use Outcome::*;
         let was_rejected =
-            matches!(self, NoCircuit | TandemRefused | FarProcessorFull | ProcessorFull(_));
-        was_rejected || matches!(self, Unreachable | NotSent | OwnProcessorDown)
+            matches!(self, NoCircuit | TandemRefused | DestinationProcessorFull | ProcessorFull(_));
+        was_rejected || matches!(self, Unreachable | NotSent | LocalProcessorDown)
     }
 }
 
--- a/tests/controller/rules.rs
+++ b/tests/controller/rules.rs
@@ -17,7 +17,7 @@
     assert!(host.end_attempt(call, 0, Outcome::TimedOut).is_empty(), "a second final answer");
 }
 
-/// Guards against a final answer after the caller has given up.
+/// Guards against a final answer after the caller has abandoned the call.
 #[test]
 fn the_timeout_of_a_set_up_never_exceeds_the_patience() {
     let mut host = Host::new(settings());
--- a/trials/src/plan.rs
+++ b/trials/src/plan.rs
@@ -10,8 +10,8 @@
 /// The first fault of each exchange is drawn from between these two times. Calls are established by the earlier one.
 const FIRST_FAULT_FROM_MS: u64 = 1500;
 const FIRST_FAULT_UNTIL_MS: u64 = 5000;
-/// The time of the planned stop in a trial that runs its full length. By then, the controller has had time to report
-/// the end of every call that a fault ended.
+/// The time of the graceful shutdown in a trial that runs its full length. By then, the controller has had time to
+/// report the end of every call that a fault ended.
 const FULL_LENGTH_MS: u64 = 14_500;
 
 /// A fault that a trial injects, or the recovery from one.
--- a/trials/src/trial.rs
+++ b/trials/src/trial.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The time limit of a planned stop is the callers' deadline, capped at this, plus `KILL_DELAY`.
+/// The time limit of a graceful shutdown is the callers' deadline, capped at this, plus `KILL_DELAY`.
 const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
 /// The controller is killed if it has not ended this long after the capped deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
