--- a/node/tests/liveness.rs
+++ b/node/tests/liveness.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use slateshed_trials::caller::Caller;
-use slateshed_trials::exchange::{FaultyExchange, IdleHabit, Manners};
+use slateshed_trials::exchange::{Behavior, FaultyExchange, IdlePolicy};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
@@ -23,8 +23,8 @@
 }
 
 impl LivenessHarness {
-    fn new(manners: Manners, has_four_connections: bool) -> Self {
-        let exchange = FaultyExchange::start(manners, 1);
+    fn new(behavior: Behavior, has_four_connections: bool) -> Self {
+        let exchange = FaultyExchange::start(behavior, 1);
         // The listener is closed again at once, so the journal service is down from the start.
         let journal =
             TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port is bound");
@@ -52,7 +52,7 @@
         tags.extend((1..count).map(|_| self.next_unused_tag()));
         for tag in &tags {
             assert!(self.caller.set_up(tag, Duration::from_secs(9), 1));
-            assert!(self.caller.stands(tag, WAIT_TIMEOUT), "{tag} is not answered");
+            assert!(self.caller.wait_established(tag, WAIT_TIMEOUT), "{tag} is not answered");
         }
         tags
     }
@@ -74,7 +74,7 @@
         for tag in tags {
             let time_left =
                 MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()) + Duration::from_secs(1);
-            let released_at = self.caller.over(tag, time_left);
+            let released_at = self.caller.wait_end_reported(tag, time_left);
             let delay = released_at.map(|at| at.saturating_duration_since(ended_at));
             eprintln!("{tag} released after {delay:?}");
             assert!(delay.is_some_and(|d| d <= MAX_RELEASE_DELAY), "{tag} released after {delay:?}");
@@ -84,13 +84,17 @@
     /// Checks that calls are still established, and that their releases are forwarded once the exchange ends them.
     fn expect_kept_then_released(&self, tags: &[String]) {
         for tag in tags {
-            assert_eq!(self.caller.told_over(tag), None, "{tag} was released");
+            assert_eq!(self.caller.end_reported_at(tag), None, "{tag} was released");
             self.exchange.release(tag);
             let ended_at = Instant::now();
-            let received_at = self.caller.over(tag, WAIT_TIMEOUT).expect("the release is forwarded");
+            let received_at =
+                self.caller.wait_end_reported(tag, WAIT_TIMEOUT).expect("the release is forwarded");
             // The exchange can send the release only once it has a connection that it serves.
-            let sent_at =
-                self.exchange.call(tag).and_then(|c| c.released).expect("the exchange sent the release");
+            let sent_at = self
+                .exchange
+                .call(tag)
+                .and_then(|c| c.released_at)
+                .expect("the exchange sent the release");
             let delay = received_at.saturating_duration_since(sent_at);
             assert!(
                 delay < MAX_FORWARDING_DELAY && received_at < ended_at + MAX_RELEASE_DELAY,
@@ -100,12 +104,12 @@
     }
 }
 
-/// Guards against calls that stay established at an exchange whose machine vanishes without a reset. `set_up_interval`:
+/// Guards against calls that stay established at an exchange whose host fails without a reset. `set_up_interval`:
 /// how often a new set-up is sent to it, if at all.
-fn check_vanished_exchange(calls: usize, has_four_connections: bool, set_up_interval: Option<Duration>) {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+fn check_failed_host(calls: usize, has_four_connections: bool, set_up_interval: Option<Duration>) {
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
     let tags = harness.establish_calls(calls);
-    harness.exchange.vanish();
+    harness.exchange.lose_host();
     let ended_at = Instant::now();
     harness.run_for(MAX_RELEASE_DELAY, set_up_interval);
     harness.expect_released(&tags, ended_at);
@@ -114,49 +118,49 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn call_at_a_vanished_exchange_is_released_without_new_set_ups() {
-    check_vanished_exchange(1, true, None);
+fn call_at_a_failed_host_is_released_without_new_set_ups() {
+    check_failed_host(1, true, None);
 }
 
 #[test]
-fn thirteen_calls_at_a_vanished_exchange_are_released_without_new_set_ups() {
-    check_vanished_exchange(13, true, None);
+fn thirteen_calls_at_a_failed_host_are_released_without_new_set_ups() {
+    check_failed_host(13, true, None);
 }
 
 #[test]
-fn call_on_the_only_connection_to_a_vanished_exchange_is_released() {
-    check_vanished_exchange(1, false, None);
+fn call_on_the_only_connection_to_a_failed_host_is_released() {
+    check_failed_host(1, false, None);
 }
 
 #[test]
-fn calls_at_a_vanished_exchange_are_released_during_frequent_set_ups() {
-    check_vanished_exchange(13, true, Some(MS(200)));
+fn calls_at_a_failed_host_are_released_during_frequent_set_ups() {
+    check_failed_host(13, true, Some(MS(200)));
 }
 
 #[test]
-fn call_at_a_vanished_exchange_is_released_during_rare_set_ups() {
-    check_vanished_exchange(1, true, Some(MS(3500)));
+fn call_at_a_failed_host_is_released_during_rare_set_ups() {
+    check_failed_host(1, true, Some(MS(3500)));
 }
 
-/// Guards against calls that stay established because a new process answers at the address of the vanished machine:
+/// Guards against calls that stay established because a new process answers at the address of the failed host:
 /// it knows nothing of them.
 fn check_replaced_exchange(
     replaced_after_ms: u64,
     has_four_connections: bool,
     set_up_interval: Option<Duration>,
 ) {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
     let tags = harness.establish_calls(3);
-    harness.exchange.vanish();
+    harness.exchange.lose_host();
     let ended_at = Instant::now();
     harness.run_for(MS(replaced_after_ms), set_up_interval);
-    harness.exchange.replace();
+    harness.exchange.replace_host();
     harness.run_for(MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()), set_up_interval);
     harness.expect_released(&tags, ended_at);
     let new_tag = harness.next_unused_tag();
     assert!(harness.caller.set_up(&new_tag, Duration::from_secs(9), 1));
     assert!(
-        harness.caller.stands(&new_tag, WAIT_TIMEOUT),
+        harness.caller.wait_established(&new_tag, WAIT_TIMEOUT),
         "a set-up to the new process is not answered"
     );
 }
@@ -190,7 +194,7 @@
 /// connection is refused in between.
 #[test]
 fn calls_are_released_when_the_exchange_crashes_and_restarts_at_once() {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, true);
     let tags = harness.establish_calls(3);
     harness.exchange.crash();
     harness.exchange.restart();
@@ -203,7 +207,7 @@
 /// send the release.
 #[test]
 fn call_that_ends_at_a_hung_exchange_is_released() {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, true);
     let tags = harness.establish_calls(2);
     harness.exchange.hang();
     let ended_at = Instant::now();
@@ -213,8 +217,8 @@
 }
 
 /// Guards against releasing calls at an exchange that is alive and sends nothing because nothing happens there.
-fn check_silent_live_exchange(manners: Manners, has_four_connections: bool) {
-    let mut harness = LivenessHarness::new(manners, has_four_connections);
+fn check_silent_live_exchange(behavior: Behavior, has_four_connections: bool) {
+    let mut harness = LivenessHarness::new(behavior, has_four_connections);
     let tags = harness.establish_calls(2);
     harness.run_for(MS(16_000), None);
     harness.expect_kept_then_released(&tags);
@@ -222,37 +226,45 @@
 
 #[test]
 fn calls_at_a_silent_live_exchange_are_kept() {
-    check_silent_live_exchange(Manners::PROTOCOL, true);
+    check_silent_live_exchange(Behavior::PROTOCOL, true);
 }
 
 #[test]
 fn calls_at_a_silent_live_exchange_are_kept_on_one_connection() {
-    check_silent_live_exchange(Manners::PROTOCOL, false);
+    check_silent_live_exchange(Behavior::PROTOCOL, false);
 }
 
 #[test]
 fn calls_at_a_live_exchange_that_sends_no_reports_are_kept() {
-    check_silent_live_exchange(Manners { greets: false, reports: false, ..Manners::PROTOCOL }, true);
+    check_silent_live_exchange(
+        Behavior { reports_on_connect: false, reports_changes: false, ..Behavior::PROTOCOL },
+        true,
+    );
 }
 
 #[test]
 fn calls_at_a_live_exchange_that_never_closes_connections_are_kept() {
-    let manners =
-        Manners { greets: false, reports: false, closes: false, insists: true, ..Manners::PROTOCOL };
-    check_silent_live_exchange(manners, true);
+    let behavior = Behavior {
+        reports_on_connect: false,
+        reports_changes: false,
+        closes_in_response: false,
+        releases_on_closed: true,
+        ..Behavior::PROTOCOL
+    };
+    check_silent_live_exchange(behavior, true);
 }
 
 /// Guards against releasing calls at an exchange that hangs or is unreachable for some time and then continues.
 fn check_stalled_exchange(stall_ms: u64, has_four_connections: bool, is_unreachable: bool) {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
     let tags = harness.establish_calls(2);
     if is_unreachable {
-        harness.exchange.cut_off();
+        harness.exchange.partition();
     } else {
         harness.exchange.hang();
     }
     harness.run_for(MS(stall_ms), None);
-    harness.exchange.reconnect();
+    harness.exchange.recover();
     harness.run_for(MS(10_000), None);
     harness.expect_kept_then_released(&tags);
 }
@@ -280,7 +292,7 @@
 /// Guards against releasing calls because the connections are reset, several times in a row, while the process goes on.
 #[test]
 fn calls_are_kept_when_the_connections_are_reset_repeatedly() {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, false);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, false);
     let tags = harness.establish_calls(2);
     for _ in 0..3 {
         harness.exchange.reset_connections();
@@ -292,12 +304,12 @@
 /// Guards against calls without a release when the daemon shuts down gracefully while their exchange is silent: the
 /// daemon exits before it would detect the failure, and nothing else can release the calls later.
 fn check_graceful_shutdown(is_hung: bool) {
-    let mut harness = LivenessHarness::new(Manners::PROTOCOL, true);
+    let mut harness = LivenessHarness::new(Behavior::PROTOCOL, true);
     let tags = harness.establish_calls(3);
     if is_hung {
         harness.exchange.hang();
     } else {
-        harness.exchange.vanish();
+        harness.exchange.lose_host();
     }
     harness.run_for(MS(3000), None);
     harness.daemon.send_sigterm();
@@ -306,14 +318,14 @@
     assert!(harness.daemon.exits_successfully() && Instant::now() < killed_at);
     for tag in &tags {
         assert!(
-            harness.caller.told_over(tag).is_some_and(|at| at < killed_at),
+            harness.caller.end_reported_at(tag).is_some_and(|at| at < killed_at),
             "{tag} was not released in time"
         );
     }
 }
 
 #[test]
-fn graceful_shutdown_releases_calls_at_a_vanished_exchange() {
+fn graceful_shutdown_releases_calls_at_a_failed_host() {
     check_graceful_shutdown(false);
 }
 
@@ -326,29 +338,30 @@
 /// on newer ones.
 #[test]
 fn calls_are_kept_when_the_exchange_stops_serving_idle_connections() {
-    let idle = Some((MS(3000), IdleHabit::Forgets));
-    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
+    let idle = Some((MS(3000), IdlePolicy::StopServing));
+    check_silent_live_exchange(Behavior { idle, ..Behavior::PROTOCOL }, true);
 }
 
 #[test]
 fn calls_are_kept_when_the_exchange_closes_idle_connections() {
-    let idle = Some((MS(1500), IdleHabit::Closes));
-    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
+    let idle = Some((MS(1500), IdlePolicy::Close));
+    check_silent_live_exchange(Behavior { idle, ..Behavior::PROTOCOL }, true);
 }
 
 #[test]
 fn calls_are_kept_when_the_exchange_resets_idle_connections() {
-    let idle = Some((MS(3000), IdleHabit::Resets));
-    check_silent_live_exchange(Manners { idle, ..Manners::PROTOCOL }, true);
+    let idle = Some((MS(3000), IdlePolicy::Reset));
+    check_silent_live_exchange(Behavior { idle, ..Behavior::PROTOCOL }, true);
 }
 
 /// Guards against closing the only connection that an exchange serves: it accepts further ones and never serves them.
 #[test]
 fn calls_are_kept_when_the_exchange_serves_only_its_first_connection() {
-    let no_reports = Manners { greets: false, reports: false, ..Manners::PROTOCOL };
+    let no_reports =
+        Behavior { reports_on_connect: false, reports_changes: false, ..Behavior::PROTOCOL };
     let mut harness = LivenessHarness::new(no_reports, false);
     let tags = harness.establish_calls(2);
-    harness.exchange.behave(Manners { dead_connections: 100, ..no_reports });
+    harness.exchange.set_behavior(Behavior { unserved_connection_percent: 100, ..no_reports });
     harness.run_for(MS(16_000), None);
     harness.expect_kept_then_released(&tags);
 }
@@ -358,12 +371,12 @@
 #[test]
 fn calls_are_released_soon_after_the_exchange_crashes() {
     for has_four_connections in [true, false] {
-        let mut harness = LivenessHarness::new(Manners::PROTOCOL, has_four_connections);
+        let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
         let tags = harness.establish_calls(3);
         harness.exchange.crash();
         let crashed_at = Instant::now();
         for tag in &tags {
-            let released_at = harness.caller.over(tag, MAX_FORWARDING_DELAY);
+            let released_at = harness.caller.wait_end_reported(tag, MAX_FORWARDING_DELAY);
             assert!(
                 released_at.is_some(),
                 "{tag} not released {:?} after the crash",
--- a/node/tests/sip.rs
+++ b/node/tests/sip.rs
@@ -503,7 +503,7 @@
     proxies[0].expect_message(&format!("BYE sip:{addr} "));
 }
 
-/// Guards against dialogs that stay established at an exchange that has vanished. A call is kept while its exchange
+/// Guards against dialogs that stay established at an exchange whose host has failed. A call is kept while its exchange
 /// answers OPTIONS within the dialog, and released once the exchange no longer answers.
 fn check_call_is_kept_while_options_are_answered(transport: &str) {
     let mut harness = SipHarness::with_probing(transport);
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -15,16 +15,19 @@
         let trials: Vec<_> = SEEDS.map(|seed| scope.spawn(move || run(seed, program))).collect();
         trials.into_iter().map(|t| t.join().expect("the trial does not panic")).collect()
     });
-    let failed: Vec<_> = outcomes.iter().filter(|o| !o.breaches.is_empty()).collect();
+    let failed: Vec<_> = outcomes.iter().filter(|o| !o.violations.is_empty()).collect();
     for outcome in &failed {
         eprintln!("seed {}: {:#?}\n{}", outcome.plan.seed, outcome.plan, outcome.log.join("\n"));
-        outcome.breaches.iter().for_each(|breach| eprintln!("seed {}: {breach}", outcome.plan.seed));
+        outcome
+            .violations
+            .iter()
+            .for_each(|violation| eprintln!("seed {}: {violation}", outcome.plan.seed));
     }
     assert!(failed.is_empty(), "{} of {} seeds broke a rule", failed.len(), outcomes.len());
-    let established: usize = outcomes.iter().map(|o| o.counts.stood).sum();
-    let lost: usize = outcomes.iter().map(|o| o.counts.lost).sum();
+    let established: usize = outcomes.iter().map(|o| o.counts.established).sum();
+    let without_release: usize = outcomes.iter().map(|o| o.counts.without_release).sum();
     assert!(
-        established > 1000 && lost > 50,
-        "the trials cover too few calls: {established} established, {lost} without a release"
+        established > 1000 && without_release > 50,
+        "the trials cover too few calls: {established} established, {without_release} without a release"
     );
 }
--- a/trials/src/caller.rs
+++ b/trials/src/caller.rs
@@ -114,7 +114,7 @@
     }
 
     /// When the controller reported the end of an established call; `None` if it has not.
-    pub fn told_over(&self, tag: &str) -> Option<Instant> {
+    pub fn end_reported_at(&self, tag: &str) -> Option<Instant> {
         let received = self.received();
         let started_index = received.iter().position(|m| m.is_started() && m.message.tag == tag)?;
         received[started_index..]
@@ -124,15 +124,15 @@
     }
 
     /// Waits until a call is established. Returns false if that takes longer than `timeout`.
-    pub fn stands(&self, tag: &str, timeout: Duration) -> bool {
+    pub fn wait_established(&self, tag: &str, timeout: Duration) -> bool {
         self.wait(timeout, |received| received.iter().any(|m| m.is_started() && m.message.tag == tag))
     }
 
     /// Waits until the controller reports the end of a call, and returns when it did; `None` if that takes longer than
     /// `timeout`.
-    pub fn over(&self, tag: &str, timeout: Duration) -> Option<Instant> {
-        self.wait(timeout, |_| self.told_over(tag).is_some());
-        self.told_over(tag)
+    pub fn wait_end_reported(&self, tag: &str, timeout: Duration) -> Option<Instant> {
+        self.wait(timeout, |_| self.end_reported_at(tag).is_some());
+        self.end_reported_at(tag)
     }
 
     fn wait(&self, timeout: Duration, mut condition: impl FnMut(&[ReceivedMessage]) -> bool) -> bool {
--- a/trials/src/exchange.rs
+++ b/trials/src/exchange.rs
@@ -35,15 +35,15 @@
 
 /// How the exchange behaves while it serves.
 #[derive(Clone, Copy, Debug)]
-pub struct Manners {
+pub struct Behavior {
     /// It reports the load of its trunk group first on each new connection.
-    pub greets: bool,
+    pub reports_on_connect: bool,
     /// It reports the load of its trunk group on all connections when it changes.
-    pub reports: bool,
+    pub reports_changes: bool,
     /// It closes a connection when its peer has closed it.
-    pub closes: bool,
+    pub closes_in_response: bool,
     /// It sends the release of a call on the connection of its set-up even if the peer has closed that connection.
-    pub insists: bool,
+    pub releases_on_closed: bool,
     /// It answers set-ups.
     pub answers_set_ups: bool,
     /// The mean hold of a call. Without one, calls last until they are released.
@@ -55,35 +55,35 @@
     /// The percentage of answers that are sent twice.
     pub duplicated_answer_percent: u8,
     /// The percentage of connections that are accepted and never served.
-    pub dead_connections: u8,
+    pub unserved_connection_percent: u8,
     /// What it does with a connection that has had no traffic for a time, and that time.
-    pub idle: Option<(Duration, IdleHabit)>,
+    pub idle: Option<(Duration, IdlePolicy)>,
 }
 
 /// What an exchange does with its idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdleHabit {
+pub enum IdlePolicy {
     /// It closes them gracefully.
-    Closes,
+    Close,
     /// It resets them.
-    Resets,
+    Reset,
     /// It stops serving them and leaves them open.
-    Forgets,
+    StopServing,
 }
 
-impl Manners {
+impl Behavior {
     /// Follows the protocol. Calls last until they are released.
-    pub const PROTOCOL: Manners = Manners {
-        greets: true,
-        reports: true,
-        closes: true,
-        insists: false,
+    pub const PROTOCOL: Behavior = Behavior {
+        reports_on_connect: true,
+        reports_changes: true,
+        closes_in_response: true,
+        releases_on_closed: false,
         answers_set_ups: true,
         mean_hold: None,
         lost_answer_percent: 0,
         malformed_answer_percent: 0,
         duplicated_answer_percent: 0,
-        dead_connections: 0,
+        unserved_connection_percent: 0,
         idle: None,
     };
 }
@@ -96,7 +96,7 @@
     /// When it ended, for any reason.
     pub ended_at: Option<Instant>,
     /// When the exchange sent its release; `None` if it has not or could not.
-    pub released: Option<Instant>,
+    pub released_at: Option<Instant>,
     /// Whether the controller released it.
     pub released_by_controller: bool,
     /// The number of the process that it was established at.
@@ -130,7 +130,7 @@
     /// The port that the exchange listens on. Its answers carry it, so that they identify the exchange.
     port: u16,
     mode: Mode,
-    manners: Manners,
+    behavior: Behavior,
     listener: Option<TcpListener>,
     /// Connections that the exchange makes to its own listener to fill its queue.
     queue_fillers: Vec<Socket>,
@@ -178,13 +178,13 @@
 
 impl FaultyExchange {
     /// Starts an exchange on a free port. Random choices, such as the hold of each call, are drawn from `seed`.
-    pub fn start(manners: Manners, seed: u64) -> Self {
+    pub fn start(behavior: Behavior, seed: u64) -> Self {
         let listener = listen(([127, 0, 0, 1], 0).into());
         let addr = listener.local_addr().expect("the listener has an address");
         let state = Arc::new(Mutex::new(State {
             port: addr.port(),
             mode: Mode::Serving,
-            manners,
+            behavior,
             listener: Some(listener),
             queue_fillers: Vec::new(),
             connections: Vec::new(),
@@ -214,32 +214,32 @@
     }
 
     /// Simulates a host failure: all calls end without a release, and the connections stay half-open.
-    pub fn vanish(&self) {
+    pub fn lose_host(&self) {
         let mut state = self.state();
         state.make_unreachable();
         state.end_all_calls(Instant::now());
     }
 
     /// Cuts the network path to the exchange. The process and its calls continue.
-    pub fn cut_off(&self) {
+    pub fn partition(&self) {
         self.state().make_unreachable();
     }
 
     /// Restores the network path, or resumes a hung process. What was sent meanwhile arrives.
-    pub fn reconnect(&self) {
+    pub fn recover(&self) {
         let mut state = self.state();
         state.empty_listen_queue();
         state.resume_serving();
     }
 
-    /// Makes the process hang until [`Self::reconnect`]. Its calls continue.
+    /// Makes the process hang until [`Self::recover`]. Its calls continue.
     pub fn hang(&self) {
         self.state().stop_serving(Mode::Hung);
     }
 
     /// Starts a new process at the address of a failed host. It knows none of the earlier calls. The old connections
     /// stay half-open: no process is left to close them.
-    pub fn replace(&self) {
+    pub fn replace_host(&self) {
         let mut state = self.state();
         state.end_all_calls(Instant::now());
         state.process += 1;
@@ -273,8 +273,8 @@
     }
 
     /// Changes the behavior of the exchange.
-    pub fn behave(&self, manners: Manners) {
-        self.state().manners = manners;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.state().behavior = behavior;
     }
 
     /// Ends an established call. The exchange sends the release if it can.
@@ -401,7 +401,7 @@
             stream.set_nodelay(true).expect("TCP_NODELAY can be set");
             self.accepted_count += 1;
             self.last_connection_id += 1;
-            let is_unserved = self.rng.u8(0..100) < self.manners.dead_connections;
+            let is_unserved = self.rng.u8(0..100) < self.behavior.unserved_connection_percent;
             let (id, process) =
                 (self.last_connection_id, if is_unserved { UNSERVED_PROCESS } else { self.process });
             self.connections.push(Connection {
@@ -415,7 +415,7 @@
             if is_unserved {
                 continue;
             }
-            if self.manners.greets {
+            if self.behavior.reports_on_connect {
                 let load = self.load_message();
                 self.send(id, &load);
             }
@@ -427,7 +427,7 @@
 
     fn read_messages(&mut self) {
         let mut lines = Vec::new();
-        let (process, closes) = (self.process, self.manners.closes);
+        let (process, closes) = (self.process, self.behavior.closes_in_response);
         self.connections.retain_mut(|c| {
             if c.process != process {
                 return true;
@@ -460,7 +460,7 @@
     }
 
     fn apply_idle_policy(&mut self) {
-        let Some((idle_timeout, habit)) = self.manners.idle else {
+        let Some((idle_timeout, policy)) = self.behavior.idle else {
             return;
         };
         let process = self.process;
@@ -468,13 +468,13 @@
             if c.process != process || c.last_active.elapsed() < idle_timeout {
                 return true;
             }
-            match habit {
-                IdleHabit::Closes => return false,
-                IdleHabit::Resets => {
+            match policy {
+                IdlePolicy::Close => return false,
+                IdlePolicy::Reset => {
                     let _ = SockRef::from(&c.stream).set_linger(Some(Duration::ZERO));
                     return false;
                 }
-                IdleHabit::Forgets => c.process = UNSERVED_PROCESS,
+                IdlePolicy::StopServing => c.process = UNSERVED_PROCESS,
             }
             true
         });
@@ -488,17 +488,17 @@
                 // A second set-up with the same id is a new call. A repeated release of the earlier call would be taken
                 // for a release of the new one.
                 self.releases_to_repeat.retain(|tag| *tag != message.tag);
-                if !self.manners.answers_set_ups {
+                if !self.behavior.answers_set_ups {
                     return;
                 }
-                let hold = self.manners.mean_hold.map(|mean| {
+                let hold = self.behavior.mean_hold.map(|mean| {
                     let exponential = -self.rng.f64().max(1e-6).ln();
                     mean.mul_f64(exponential.clamp(0.05, 3.0))
                 });
                 let record = CallRecord {
                     answered_at: now,
                     ended_at: None,
-                    released: None,
+                    released_at: None,
                     released_by_controller: false,
                     process: self.process,
                     connection_id,
@@ -524,15 +524,15 @@
     fn answer_set_up(&mut self, connection_id: u64, tag: &str) {
         let port = self.port;
         let answer = format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"{port}"}}"#);
-        let (manners, drawn_percent) = (self.manners, self.rng.u8(0..100));
-        if drawn_percent < manners.lost_answer_percent {
+        let (behavior, drawn_percent) = (self.behavior, self.rng.u8(0..100));
+        if drawn_percent < behavior.lost_answer_percent {
             return;
         }
-        if drawn_percent < manners.lost_answer_percent + manners.malformed_answer_percent {
+        if drawn_percent < behavior.lost_answer_percent + behavior.malformed_answer_percent {
             return self.send(connection_id, &answer.replace(':', "#"));
         }
         self.send(connection_id, &answer);
-        if drawn_percent >= 100 - manners.duplicated_answer_percent {
+        if drawn_percent >= 100 - behavior.duplicated_answer_percent {
             self.send(connection_id, &answer);
         }
     }
@@ -554,7 +554,7 @@
         let is_unreleased = |c: &CallRecord| {
             c.process == process
                 && c.ended_at.is_some()
-                && c.released.is_none()
+                && c.released_at.is_none()
                 && !c.released_by_controller
         };
         let unreleased: Vec<_> =
@@ -572,22 +572,22 @@
         let Some(call) = self.calls.get(tag) else {
             return;
         };
-        let (process, insists) = (self.process, self.manners.insists);
+        let (process, releases_on_closed) = (self.process, self.behavior.releases_on_closed);
         let own = self.connections.iter().filter(|c| c.process == process);
-        let open = own.filter(|c| !c.peer_closed || insists && c.id == call.connection_id);
+        let open = own.filter(|c| !c.peer_closed || releases_on_closed && c.id == call.connection_id);
         let Some(connection_id) = open.max_by_key(|c| c.id == call.connection_id).map(|c| c.id) else {
             return;
         };
         self.send(connection_id, &release_message(tag));
         self.releases_to_repeat.push(tag.to_owned());
         if let Some(call) = self.calls.get_mut(tag) {
-            call.released = Some(Instant::now());
+            call.released_at = Some(Instant::now());
         }
     }
 
     /// Reports the load of the trunk group on all connections of the process.
     fn report_load(&mut self) {
-        if self.manners.reports {
+        if self.behavior.reports_changes {
             let (load, process) = (self.load_message(), self.process);
             let open: Vec<_> =
                 self.connections.iter().filter(|c| c.process == process).map(|c| c.id).collect();
--- a/trials/src/main.rs
+++ b/trials/src/main.rs
@@ -41,7 +41,7 @@
                 }
                 let outcome = run(seed, &arguments.program);
                 report(&outcome, arguments.verbose);
-                if !outcome.breaches.is_empty() {
+                if !outcome.violations.is_empty() {
                     failed_seeds.lock().expect("no thread panicked while holding the lock").push(seed);
                 }
             });
@@ -63,15 +63,15 @@
         "seed {}: {} set-ups, {} stood, {} told, {} without a release; {} broken\n",
         plan.seed,
         counts.set_ups,
-        counts.stood,
+        counts.established,
         counts.ends_reported,
-        counts.lost,
-        outcome.breaches.len()
+        counts.without_release,
+        outcome.violations.len()
     );
-    for violation in outcome.breaches.iter().take(5) {
+    for violation in outcome.violations.iter().take(5) {
         text.push_str(&format!("  {violation}\n"));
     }
-    if verbose && !outcome.breaches.is_empty() {
+    if verbose && !outcome.violations.is_empty() {
         text.push_str(&format!("{plan:#?}\n{}\n", outcome.log.join("\n")));
     }
     print!("{text}");
--- a/trials/src/plan.rs
+++ b/trials/src/plan.rs
@@ -1,6 +1,6 @@
 //! The fault plan of a trial, drawn from its seed.
 
-use crate::exchange::{IdleHabit, Manners};
+use crate::exchange::{Behavior, IdlePolicy};
 use fastrand::Rng;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
     /// The longest time that a caller waits for an answer.
     pub deadline: Duration,
     /// The behavior of each exchange.
-    pub exchange_behaviors: Vec<Manners>,
+    pub exchange_behaviors: Vec<Behavior>,
     /// The number of callers that generate load, each on one connection at a time.
     pub caller_count: usize,
     /// The number of client connections that stay idle throughout the trial.
@@ -106,30 +106,30 @@
 
 /// Draws the behavior of an exchange. Most exchanges follow the protocol. Some keep open the connections that the
 /// controller has closed, and some never send an unsolicited load report.
-fn draw_behavior(rng: &mut Rng) -> Manners {
+fn draw_behavior(rng: &mut Rng) -> Behavior {
     let mean_hold = Some(ms(rng.u64(2000..12_000)));
-    let usual = Manners {
+    let usual = Behavior {
         mean_hold,
         lost_answer_percent: *pick(rng, &[0, 0, 3]),
         malformed_answer_percent: *pick(rng, &[0, 0, 2]),
         duplicated_answer_percent: *pick(rng, &[0, 0, 2]),
-        dead_connections: *pick(rng, &[0, 0, 4]),
+        unserved_connection_percent: *pick(rng, &[0, 0, 4]),
         idle: *pick(
             rng,
             &[
                 None,
                 None,
                 None,
-                Some((ms(1500), IdleHabit::Closes)),
-                Some((ms(3000), IdleHabit::Resets)),
-                Some((ms(3000), IdleHabit::Forgets)),
+                Some((ms(1500), IdlePolicy::Close)),
+                Some((ms(3000), IdlePolicy::Reset)),
+                Some((ms(3000), IdlePolicy::StopServing)),
             ],
         ),
-        ..Manners::PROTOCOL
+        ..Behavior::PROTOCOL
     };
     match rng.u8(0..6) {
-        0 => Manners { closes: false, ..usual },
-        1 => Manners { reports: false, greets: false, ..usual },
+        0 => Behavior { closes_in_response: false, ..usual },
+        1 => Behavior { reports_changes: false, reports_on_connect: false, ..usual },
         _ => usual,
     }
 }
--- a/trials/src/rules.rs
+++ b/trials/src/rules.rs
@@ -75,12 +75,12 @@
     /// Set-ups that were sent.
     pub set_ups: usize,
     /// Of these, set-ups that led to an established call.
-    pub stood: usize,
+    pub established: usize,
     /// Of the established calls, those whose end the controller reported to the caller.
     pub ends_reported: usize,
     /// Of the established calls, those that ended at their exchange without a release sent in time, because its host
     /// had failed or it could not send one.
-    pub lost: usize,
+    pub without_release: usize,
 }
 
 impl TrialRecord {
@@ -138,7 +138,7 @@
         if !answer.is_started() {
             return None;
         }
-        counts.stood += 1;
+        counts.established += 1;
         let end_reported_at = messages.iter().find(|m| m.message.verb == "FINISH").map(|m| m.at);
         counts.ends_reported += usize::from(end_reported_at.is_some());
         if set_up.finished_at.is_some() {
@@ -182,10 +182,10 @@
             return self.check_early_end(exchange, reported_at);
         }
         let ended_at = call.ended_at.filter(|_| !call.released_by_controller)?;
-        let released_in_time = call.released.filter(|at| *at <= ended_at + MAX_RELEASE_SEND_DELAY);
+        let released_in_time = call.released_at.filter(|at| *at <= ended_at + MAX_RELEASE_SEND_DELAY);
         let due = released_in_time
             .map_or(ended_at + MAX_END_REPORT_DELAY, |at| at + MAX_RELEASE_FORWARD_DELAY);
-        counts.lost += usize::from(released_in_time.is_none());
+        counts.without_release += usize::from(released_in_time.is_none());
         // A controller that has ended can't report anything.
         if due >= self.ended_at {
             return None;
@@ -193,7 +193,8 @@
         let is_late = end_reported_at.is_none_or(|at| at > due);
         is_late.then(|| {
             let reported = end_reported_at.map_or("never".to_owned(), |at| self.seconds_since_start(at));
-            let released = call.released.map_or("never".to_owned(), |at| self.seconds_since_start(at));
+            let released =
+                call.released_at.map_or("never".to_owned(), |at| self.seconds_since_start(at));
             format!(
                 "over at {}, released at {released}, told {reported}",
                 self.seconds_since_start(ended_at)
--- a/trials/src/trial.rs
+++ b/trials/src/trial.rs
@@ -25,7 +25,7 @@
     /// The plan of the trial.
     pub plan: Plan,
     /// The violations of the rules.
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Counts of the calls.
     pub counts: Counts,
     /// The daemon's log.
@@ -43,11 +43,11 @@
 impl Testbed {
     fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::LoseHost(i) => self.exchanges[i].vanish(),
-            Fault::ReplaceHost(i) => self.exchanges[i].replace(),
-            Fault::Partition(i) => self.exchanges[i].cut_off(),
+            Fault::LoseHost(i) => self.exchanges[i].lose_host(),
+            Fault::ReplaceHost(i) => self.exchanges[i].replace_host(),
+            Fault::Partition(i) => self.exchanges[i].partition(),
             Fault::Hang(i) => self.exchanges[i].hang(),
-            Fault::Recover(i) => self.exchanges[i].reconnect(),
+            Fault::Recover(i) => self.exchanges[i].recover(),
             Fault::Crash(i) => self.exchanges[i].crash(),
             Fault::Restart(i) => self.exchanges[i].restart(),
             Fault::ResetConnections(i) => {
@@ -144,10 +144,10 @@
         })
         .collect();
     let record = TrialRecord { callers, exchanges, stop_signalled_at, ended_at, started_at };
-    let (mut breaches, counts) = record.check();
+    let (mut violations, counts) = record.check();
     if !ended_well {
         let description = "did not exit with status 0 between the signal and the kill".to_owned();
-        breaches.push(Violation { tag: "controller".to_owned(), description });
+        violations.push(Violation { tag: "controller".to_owned(), description });
     }
-    Outcome { plan, breaches, counts, log: testbed.daemon.log() }
+    Outcome { plan, violations, counts, log: testbed.daemon.log() }
 }
