--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -88,7 +88,7 @@
 /// One entry of a list, as received: its exchange has no id yet, since each instance assigns its own.
 #[derive(Clone)]
 struct ListedExchange {
-    exchange: String,
+    name: String,
     number: ExchangeNumber,
     zone: u32,
     phase: Phase,
@@ -277,7 +277,7 @@
     };
     let zone = line.find("az").map_or(Ok(0), |_| line.int("az"))?;
     let number = ExchangeNumber(line.whole_number("place_no")?);
-    Ok(ListedExchange { exchange: line.get("exchange")?.to_owned(), number, zone, phase, started_at })
+    Ok(ListedExchange { name: line.get("exchange")?.to_owned(), number, zone, phase, started_at })
 }
 
 /// Reads the free circuits and the size of the trunk group from a report; none if one of them is missing.
@@ -380,11 +380,11 @@
     if form == "error" {
         return Ok(ListUpdate::Failed);
     }
-    let lines = lists.get(&line.int::<u8>("page")?).ok_or_else(|| line.invalid("page"))?;
-    let mut entries = Vec::with_capacity(lines.len());
-    for listed in lines {
+    let listed_exchanges = lists.get(&line.int::<u8>("page")?).ok_or_else(|| line.invalid("page"))?;
+    let mut entries = Vec::with_capacity(listed_exchanges.len());
+    for listed in listed_exchanges {
         entries.push(ListEntry {
-            exchange: instance.id(&listed.exchange),
+            exchange: instance.id(&listed.name),
             number: listed.number,
             zone: listed.zone,
             phase: listed.phase,
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -90,7 +90,7 @@
     /// Send the exchange a release of an established call.
     ReleaseExchange(AttemptToken, ReleaseCause),
     /// Discard the state of an attempt without a message to the exchange: its call was lost there.
-    ForgetAttempt(AttemptToken),
+    DiscardAttempt(AttemptToken),
     /// Final answer: the call is established, with the exchange's session description.
     Answer(CallToken, String),
     /// Final answer: refused, with the retry-after time.
@@ -684,7 +684,7 @@
         let dropped = dropped.filter(|(_, a)| a.answered_at <= answered_until);
         let dropped: Vec<_> = dropped.map(|(t, _)| AttemptToken(t)).collect();
         for attempt in dropped {
-            self.commands.push_back(Command::ForgetAttempt(attempt));
+            self.commands.push_back(Command::DiscardAttempt(attempt));
             self.attempt_ended(now, attempt, EndReason::Dropped, timers);
         }
     }
--- a/node/src/engine/liveness.rs
+++ b/node/src/engine/liveness.rs
@@ -67,7 +67,7 @@
 
     /// Records activity of the exchange of an attempt, for protocols that do not distinguish its processes.
     pub fn record_attempt_activity(&mut self, now: Duration, attempt: AttemptToken) {
-        let exchange = self.exchange_of(attempt);
+        let exchange = self.attempt_exchange(attempt);
         if let Some(entry) = exchange.and_then(|e| self.exchanges.get_mut(&e)) {
             let newest = entry.liveness.newest(now);
             entry.liveness.record_activity(now, newest);
@@ -75,7 +75,7 @@
     }
 
     /// The exchange that the set-up of an attempt was sent to.
-    pub fn exchange_of(&self, attempt: AttemptToken) -> Option<ExchangeId> {
+    pub fn attempt_exchange(&self, attempt: AttemptToken) -> Option<ExchangeId> {
         self.attempts.get(attempt.0).map(|a| a.exchange)
     }
 
@@ -94,9 +94,9 @@
     }
 
     /// The exchange sent data first on a new connection.
-    pub fn peer_spoke_first(&mut self, exchange: ExchangeId) {
+    pub fn peer_sent_first(&mut self, exchange: ExchangeId) {
         if let Some(entry) = self.exchanges.get_mut(&exchange) {
-            entry.liveness.peer_spoke_first();
+            entry.liveness.peer_sent_first();
         }
     }
 
@@ -105,18 +105,18 @@
         &mut self,
         now: Duration,
         exchange: ExchangeId,
-        observation: FailureSign,
+        failure_sign: FailureSign,
     ) {
         let Some(entry) = self.exchanges.get_mut(&exchange) else {
             return;
         };
         let newest = entry.liveness.newest(now);
         let silent_for = entry.liveness.silent_for(now, newest);
-        entry.liveness.record_failure_sign(observation);
+        entry.liveness.record_failure_sign(failure_sign);
         self.adverse_observations += 1;
         if self.has_established_calls(exchange) {
             let exchange = self.exchange_name(exchange).to_owned();
-            self.log_events.push_back(LogEvent::Suspected { exchange, observation, silent_for });
+            self.log_events.push_back(LogEvent::Suspected { exchange, failure_sign, silent_for });
         }
     }
 
@@ -266,7 +266,7 @@
             .map(|(token, _)| AttemptToken(token))
             .collect();
         for attempt in attempts {
-            self.commands.push_back(Command::ForgetAttempt(attempt));
+            self.commands.push_back(Command::DiscardAttempt(attempt));
             self.attempt_ended(now, attempt, EndReason::ExchangeDead, timers);
         }
     }
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -9,7 +9,7 @@
 //! them. Where the suspicion is weak, both incarnations are assumed to be the same process until there is
 //! evidence against it.
 //!
-//! An incarnation is considered dead, and its calls are dropped, after [`SILENCE_TIMEOUT`] without activity,
+//! An incarnation is considered dead, and its calls are dropped, after [`DEAD_PROCESS_TIMEOUT`] without activity,
 //! provided that there is also a sign of failure: failed dials, unanswered set-ups, failed checks, or a newer
 //! incarnation.
 
@@ -20,7 +20,7 @@
 /// A suspected process without activity for this long is considered dead, and its calls are dropped. The
 /// caller has to get the release within 8 s of the failure, which may have come right after the last
 /// activity; the remaining time allows for the transmission to the caller and for delays of the event loop.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(7200);
+pub const DEAD_PROCESS_TIMEOUT: Duration = Duration::from_millis(7200);
 /// The first check at an exchange comes this long after the first call was established there, whether the
 /// process is silent or not, to learn its [`CloseBehavior`] while it is certainly alive.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
@@ -175,7 +175,7 @@
     /// dropped it as idle.
     is_check_conclusive: bool,
     /// Whether the exchange sends data first on each new connection.
-    peer_speaks_first: bool,
+    peer_sends_first: bool,
     close_behavior: CloseBehavior,
 }
 
@@ -285,7 +285,7 @@
         incarnation: Incarnation,
         is_stall: bool,
     ) -> Incarnation {
-        if !self.peer_speaks_first && (!self.has_failure_signs || is_stall) {
+        if !self.peer_sends_first && (!self.has_failure_signs || is_stall) {
             self.record_activity(now, incarnation);
         }
         incarnation
@@ -321,25 +321,25 @@
     }
 
     /// The peer sent data first on a new connection.
-    pub fn peer_spoke_first(&mut self) {
-        self.peer_speaks_first = true;
+    pub fn peer_sent_first(&mut self) {
+        self.peer_sends_first = true;
     }
 
     /// Records a sign that the process has failed.
-    pub fn record_failure_sign(&mut self, observation: FailureSign) {
-        if observation.is_interruption() {
+    pub fn record_failure_sign(&mut self, failure_sign: FailureSign) {
+        if failure_sign.is_interruption() {
             self.groups.iter_mut().for_each(|g| g.is_interrupted = true);
         }
-        let index = observation.incarnation().and_then(|i| self.index(i));
-        let is_at_rest = matches!(observation, FailureSign::MissedReportsAtRest(_));
+        let index = failure_sign.incarnation().and_then(|i| self.index(i));
+        let is_at_rest = matches!(failure_sign, FailureSign::MissedReportsAtRest(_));
         match index.filter(|i| i + 1 < self.groups.len()) {
             Some(index) if is_at_rest && !self.groups[index].is_interrupted => {}
             Some(index) => self.mark_next_group_different(index),
             None if is_at_rest => {}
             None => {
-                self.failure_weight = self.failure_weight.saturating_add(observation.weight());
+                self.failure_weight = self.failure_weight.saturating_add(failure_sign.weight());
                 self.has_failure_signs = true;
-                self.has_dead_connection |= observation.incarnation().is_some();
+                self.has_dead_connection |= failure_sign.incarnation().is_some();
             }
         }
     }
@@ -358,7 +358,8 @@
             .filter(|i| processes_with_calls.contains(&self.groups[*i].first))
             .collect();
         let is_dead = |i: &usize| {
-            now >= self.last_activity(*i) + SILENCE_TIMEOUT && self.is_suspected(self.groups[*i].first)
+            now >= self.last_activity(*i) + DEAD_PROCESS_TIMEOUT
+                && self.is_suspected(self.groups[*i].first)
         };
         let (dead, live): (Vec<_>, Vec<_>) = candidates.into_iter().partition(is_dead);
         let dead = dead.into_iter().map(|i| self.groups[i].first).collect();
@@ -422,7 +423,7 @@
     /// When the next review is due: when a process may be considered dead, the next check or the end of the
     /// current one is due, and after twice the check timeout at the latest.
     fn next_review(&self, now: Duration, longest_silent: Option<usize>, live: &[usize]) -> Duration {
-        let dead_at = live.iter().map(|i| self.last_activity(*i) + SILENCE_TIMEOUT);
+        let dead_at = live.iter().map(|i| self.last_activity(*i) + DEAD_PROCESS_TIMEOUT);
         let check = longest_silent.map(|i| self.next_check(now, i));
         let check_ends_at = self.check_started_at.map(|since| since + CHECK_TIMEOUT);
         let due = dead_at.chain(check).chain(check_ends_at).filter(|at| *at > now).min();
@@ -509,7 +510,7 @@
     #[test]
     fn a_new_connection_is_no_activity_of_an_exchange_that_sends_data_first() {
         let mut liveness = Liveness::default();
-        liveness.peer_spoke_first();
+        liveness.peer_sent_first();
         let incarnation = liveness.connected(ms(0));
         assert_eq!(liveness.connected(ms(2500)), incarnation);
         assert_eq!(dead_at(&mut liveness, 2500, incarnation), Some(7200));
@@ -594,18 +595,18 @@
     #[test]
     fn after_one_failure_sign_new_connections_are_assumed_to_lead_to_the_same_process() {
         let first = Incarnation(0);
-        for observation in
+        for failure_sign in
             [FailureSign::DialFailed, FailureSign::Unanswered(1, first), FailureSign::Reset]
         {
             let mut liveness = Liveness::default();
             let old = liveness.connected(ms(0));
-            liveness.record_failure_sign(observation);
+            liveness.record_failure_sign(failure_sign);
             let new = liveness.connected(ms(2600));
             liveness.record_activity(ms(6000), new);
             assert!(new != old && !liveness.is_suspected(old));
             assert_eq!(liveness.silent_for(ms(6000), old), ms(0));
             liveness.record_failure_sign(FailureSign::MissedReports(old));
-            assert!(liveness.is_suspected(old) && !liveness.is_suspected(new), "{observation:?}");
+            assert!(liveness.is_suspected(old) && !liveness.is_suspected(new), "{failure_sign:?}");
             assert_eq!(dead_at(&mut liveness, 6000, old), Some(7200));
         }
     }
--- a/node/src/log_events.rs
+++ b/node/src/log_events.rs
@@ -55,7 +55,7 @@
         /// The exchange.
         exchange: String,
         /// What was observed.
-        observation: FailureSign,
+        failure_sign: FailureSign,
         /// Time since the last activity.
         silent_for: Duration,
     },
@@ -150,8 +150,8 @@
                     LastEnd(after)
                 )
             }
-            LogEvent::Suspected { exchange, observation, silent_for } => {
-                write!(f, "exchange={exchange} by={observation:?} silent_ms={}", silent_for.as_millis())
+            LogEvent::Suspected { exchange, failure_sign, silent_for } => {
+                write!(f, "exchange={exchange} by={failure_sign:?} silent_ms={}", silent_for.as_millis())
             }
             LogEvent::NewIncarnation { exchange, is_assumed_same } => {
                 write!(f, "exchange={exchange} assumed_same={is_assumed_same}")
--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections and the calls that arrive on them, in the platform's JSON lines.
 
 use super::conn::Conn;
-use super::lines::{encode_message, is_hex, list_value, Message};
+use super::lines::{encode_message, is_16_hex_digits, list_value, Message};
 use super::{lifecycle, Context, SourceKind, TimerEvent, ACCEPT_BATCH, MESSAGE_TIMEOUT};
 use crate::arena::{Arena, Token};
 use crate::config::{Limits, WireConfig};
@@ -337,7 +337,7 @@
                     client.awaiting_since = None;
                 }
                 if !text.is_empty() {
-                    self.message(token, Message::parse(&text)?, cx)?;
+                    self.handle_message(token, Message::parse(&text)?, cx)?;
                 }
             }
             if read? == 0 {
@@ -361,7 +361,12 @@
         }
     }
 
-    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
+    fn handle_message(
+        &mut self,
+        token: Token,
+        message: Message,
+        cx: &mut Context,
+    ) -> Result<(), EndReason> {
         match message.verb.as_str() {
             "START" => self.handle_set_up(token, message, cx),
             "FINISH" => {
@@ -401,7 +406,7 @@
         };
         // A set-up without a valid id cannot be answered. If it were forwarded, the exchange would close its
         // connection, and all other set-ups on that connection would be lost.
-        if !is_hex(&message.tag) {
+        if !is_16_hex_digits(&message.tag) {
             return Err(EndReason::MalformedMessage);
         }
         if self.by_tag.contains_key(&message.tag) {
@@ -670,7 +675,7 @@
     if patience.is_zero() || patience > wire.deadlines[class] + DEADLINE_TOLERANCE {
         return Err("left");
     }
-    let key = Some(message.opt("key")).filter(|k| is_hex(k)).ok_or("key")?;
+    let key = Some(message.opt("key")).filter(|k| is_16_hex_digits(k)).ok_or("key")?;
     let dialled = u64::from_str_radix(key, 16).map_err(|_| "key")?;
     let extras = message.opt("extras");
     let count = |name| {
--- a/node/src/net/exchanges/liveness.rs
+++ b/node/src/net/exchanges/liveness.rs
@@ -15,9 +15,9 @@
 
 /// A connection is suspected to be dead if a set-up on it is cancelled after at least this time without any
 /// data received on the connection.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
-/// The same, if there has been no sign of life of the process for [`SILENCE_TIMEOUT`].
-const SHORT_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+const CONNECTION_SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
+/// The same, if there has been no sign of life of the process for [`CONNECTION_SILENCE_TIMEOUT`].
+const SHORT_CONNECTION_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 /// An exchange that sends the first message on new connections does so within this time.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// No exchange closes, resets or drops a connection that has been idle for less than this time.
@@ -246,7 +246,7 @@
         connection.has_received = true;
         let exchange = connection.exchange;
         if verb == "LOAD" && cx.now < connection.connected_at + FIRST_MESSAGE_TIMEOUT {
-            cx.engine.peer_spoke_first(exchange);
+            cx.engine.peer_sent_first(exchange);
         }
         if let Some(peer) = self.peers.get_mut(&exchange) {
             peer.consecutive_failures = 0;
@@ -263,8 +263,13 @@
         };
         let incarnation = connection.incarnation.unwrap_or_default();
         let was_in_use = connection.was_in_use(sent.sent_at);
-        let is_process_silent = cx.engine.silent_for(cx.now, exchange, incarnation) >= SILENCE_TIMEOUT;
-        let silence_timeout = if is_process_silent { SHORT_SILENCE_TIMEOUT } else { SILENCE_TIMEOUT };
+        let is_process_silent =
+            cx.engine.silent_for(cx.now, exchange, incarnation) >= CONNECTION_SILENCE_TIMEOUT;
+        let silence_timeout = if is_process_silent {
+            SHORT_CONNECTION_SILENCE_TIMEOUT
+        } else {
+            CONNECTION_SILENCE_TIMEOUT
+        };
         let is_connection_silent =
             |c: &Connection, at: Duration| c.last_received_at < at && cx.now >= at + silence_timeout;
         let is_silent_since =
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -431,7 +431,7 @@
                     }
                 }
             }
-            Command::ForgetAttempt(attempt) => drop(self.remove_attempt(attempt)),
+            Command::DiscardAttempt(attempt) => drop(self.remove_attempt(attempt)),
             _ => {}
         }
     }
@@ -561,7 +561,7 @@
                     connection.partial_since = None;
                 }
                 if !text.is_empty() {
-                    self.message(token, Message::parse(&text)?, cx)?;
+                    self.handle_message(token, Message::parse(&text)?, cx)?;
                 }
             }
             if let Some(connection) =
@@ -637,7 +637,12 @@
         }
     }
 
-    fn message(&mut self, token: Token, message: Message, cx: &mut Context) -> Result<(), EndReason> {
+    fn handle_message(
+        &mut self,
+        token: Token,
+        message: Message,
+        cx: &mut Context,
+    ) -> Result<(), EndReason> {
         let Some(connection) = self.connections.get(token) else {
             return Ok(());
         };
--- a/node/src/net/lines.rs
+++ b/node/src/net/lines.rs
@@ -79,7 +79,7 @@
 }
 
 /// Whether a text is a valid call id or dialled number: 16 hex digits.
-pub fn is_hex(text: &str) -> bool {
+pub fn is_16_hex_digits(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -381,7 +381,7 @@
                     Command::SetUp { .. } => number.is_some_and(|n| s.reaches_exchange(n)),
                     Command::CancelAttempt(a)
                     | Command::ReleaseExchange(a, _)
-                    | Command::ForgetAttempt(a) => s.has_attempt(*a),
+                    | Command::DiscardAttempt(a) => s.has_attempt(*a),
                     Command::Answer(c, _) | Command::Refuse(c, _) => s.has_call(*c),
                     Command::Fail(c) | Command::ReleaseCaller(c, _) => s.has_call(*c),
                 };
--- a/node/src/net/sip/checks.rs
+++ b/node/src/net/sip/checks.rs
@@ -24,7 +24,7 @@
     /// Checks an exchange with an OPTIONS within the one of its dialogs that was checked longest ago.
     fn check_exchange(&mut self, exchange: ExchangeId, cx: &mut Context) {
         let is_at_exchange = |party| match party {
-            Party::Exchange(attempt) => cx.engine.exchange_of(attempt) == Some(exchange),
+            Party::Exchange(attempt) => cx.engine.attempt_exchange(attempt) == Some(exchange),
             Party::Caller(_) => false,
         };
         let confirmed_legs = self
@@ -89,7 +89,7 @@
         };
         cx.engine.record_attempt_activity(cx.now, attempt);
         if status == CALL_DOES_NOT_EXIST {
-            let exchange = cx.engine.exchange_of(attempt);
+            let exchange = cx.engine.attempt_exchange(attempt);
             self.terminate_leg(leg_token, cx);
             cx.engine.attempt_ended(cx.now, attempt, EndReason::ExchangeDead, cx.timers);
             // A process that does not know one of its dialogs may know none of them: the next one is checked.
--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -30,7 +30,7 @@
                     self.send_cancel(leg_token, cx.now);
                 }
             }
-            Command::ReleaseExchange(attempt, _) | Command::ForgetAttempt(attempt) => {
+            Command::ReleaseExchange(attempt, _) | Command::DiscardAttempt(attempt) => {
                 if let Some(leg_token) = self.legs_by_attempt.get(&attempt).copied() {
                     self.send_bye(leg_token, cx);
                 }
--- a/node/tests/engine.rs
+++ b/node/tests/engine.rs
@@ -163,7 +163,7 @@
     );
     harness.update_list(&[(1, Phase::Gone)], false, ms(0));
     let released =
-        [Command::ForgetAttempt(attempt), Command::ReleaseCaller(call, ReleaseCause::Dropped)];
+        [Command::DiscardAttempt(attempt), Command::ReleaseCaller(call, ReleaseCause::Dropped)];
     assert_eq!(harness.take_commands(), released);
 }
 
@@ -193,7 +193,7 @@
         }
         // A silent process may still be alive, so the controller also sends it a release.
         let exchange_command = match failure {
-            0 | 1 => Command::ForgetAttempt(attempt),
+            0 | 1 => Command::DiscardAttempt(attempt),
             _ => Command::ReleaseExchange(attempt, ReleaseCause::Dropped),
         };
         assert_eq!(
@@ -223,7 +223,7 @@
     harness.take_commands();
     harness.update_list(&[(1, Phase::InService)], false, restarted_at);
     let released =
-        [Command::ForgetAttempt(old_attempt), Command::ReleaseCaller(old_call, ReleaseCause::Dropped)];
+        [Command::DiscardAttempt(old_attempt), Command::ReleaseCaller(old_call, ReleaseCause::Dropped)];
     assert_eq!(harness.take_commands(), released);
     assert!(harness.engine.is_answered(new_attempt));
 }
--- a/node/tests/lines.rs
+++ b/node/tests/lines.rs
@@ -284,10 +284,10 @@
     assert!(confirming_client.receive().contains("00000000000000aa"));
 }
 
-/// Guards against losing the rest of a long burst: the daemon reads a limited amount from a connection in one turn of
-/// its event loop.
+/// Guards against losing the rest of a long burst: the daemon reads a limited amount from a connection in one
+/// iteration of its event loop.
 #[test]
-fn burst_longer_than_one_read_turn_is_read_completely() {
+fn burst_longer_than_one_iteration_reads_is_read_completely() {
     let (mut daemon, _exchange, _journal) = start_daemon();
     let mut client = daemon.connect_client();
     let echo =
--- a/src/control.rs
+++ b/src/control.rs
@@ -372,8 +372,8 @@
         self.peers.get_mut(&exchange).is_none_or(|p| p.estimate.update_flag(now, target, local))
     }
 
-    /// Whether a trial set-up, that of an ordinary call to a congested processor, is due. None is due while
-    /// another set-up there is unanswered, so that trial set-ups do not add to a backlog.
+    /// Whether a trial set-up is due: an ordinary call let through to a congested processor. None is due
+    /// while another set-up there is unanswered, so that trial set-ups do not add to a backlog.
     fn trial_due(&self, exchange: ExchangeId) -> bool {
         self.peers.get(&exchange).map(|p| &p.estimate).is_some_and(|e| {
             let interval_over = e.last_sent_at.is_none_or(|t| self.now >= t + SAMPLE_PERIOD);
