--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -64,6 +64,7 @@
     awaiting_since: Option<Duration>,
     /// Whether a timer for that message is scheduled.
     timer_scheduled: bool,
+    /// When its last event was handled; before that, when it was accepted.
     last_active_at: Duration,
     /// Unconfirmed releases sent on this connection, with the times of sending. They may be lost if the
     /// client closes the connection before it reads them.
@@ -283,15 +284,15 @@
         let Some(client) = self.conns.get_mut(token) else {
             return;
         };
-        let is_idle = client.unanswered == 0 && !client.answered;
-        let unfinished =
+        let is_unused = client.unanswered == 0 && !client.answered;
+        let unfinished_since =
             client.awaiting_since.filter(|_| client.answered || client.conn.has_partial_line());
-        let next = match unfinished {
+        let next = match unfinished_since {
             Some(since) if cx.now >= since + MESSAGE_TIMEOUT => {
                 return self.end(token, EndReason::PeerSilent, cx)
             }
             Some(since) => since + MESSAGE_TIMEOUT,
-            None if is_idle => return self.end(token, EndReason::PeerSilent, cx),
+            None if is_unused => return self.end(token, EndReason::PeerSilent, cx),
             None if !client.answered => cx.now + UNANSWERED_RECHECK_INTERVAL,
             None => {
                 client.timer_scheduled = false;
@@ -666,8 +667,8 @@
 }
 
 /// Parses a set-up; the error names the invalid field. Fields forwarded unchanged must be valid for the
-/// exchange, because it closes its connection on any invalid message. Numbers out of range are rejected, not
-/// clamped.
+/// exchange, because it closes its connection on any invalid message. A number in `extras` that is out of range
+/// is not clamped: it counts as absent.
 fn parse_set_up(message: Message, wire: &WireConfig) -> Result<IncomingCall, &'static str> {
     let class = wire.classes.iter().position(|c| c == message.opt("class")).ok_or("class")?;
     let left: f64 = message.opt("left").parse().map_err(|_| "left")?;
--- a/node/src/net/conn.rs
+++ b/node/src/net/conn.rs
@@ -18,7 +18,7 @@
     /// The socket, registered for reading and writing.
     pub stream: TcpStream,
     /// Whether the connection is established.
-    is_established: bool,
+    connected: bool,
     /// The receive buffer.
     input: Vec<u8>,
     /// Number of input bytes that have been returned as lines.
@@ -45,13 +45,13 @@
 
 impl Conn {
     /// Creates a connection with buffer limits. A dialled connection is not established yet.
-    pub fn new(stream: TcpStream, limits: BufferLimits, is_established: bool) -> Self {
+    pub fn new(stream: TcpStream, limits: BufferLimits, connected: bool) -> Self {
         // Send each message without delay. If the option cannot be set, the connection still works.
         let _ = stream.set_nodelay(true);
         let (input, output) = (Vec::new(), Vec::new());
         Conn {
             stream,
-            is_established,
+            connected,
             input,
             consumed: 0,
             limits,
@@ -64,12 +64,12 @@
 
     /// Whether the connection is established.
     pub fn is_connected(&self) -> bool {
-        self.is_established
+        self.connected
     }
 
     /// Checks whether a dialled connection is now established.
     pub fn check_connected(&mut self) -> Result<bool, EndReason> {
-        if self.is_established {
+        if self.connected {
             return Ok(true);
         }
         match self.stream.take_error() {
@@ -77,11 +77,11 @@
             Ok(None) => {}
         }
         match self.stream.peer_addr() {
-            Ok(_) => self.is_established = true,
+            Ok(_) => self.connected = true,
             Err(e) if e.kind() == ErrorKind::NotConnected => {}
             Err(e) => return Err(dial_end_reason(e.kind())),
         }
-        Ok(self.is_established)
+        Ok(self.connected)
     }
 
     /// Reads once and returns the number of bytes read, or 0 if no data is available yet.
@@ -129,12 +129,13 @@
         Ok(line)
     }
 
-    /// Whether the receive buffer holds unconsumed data: after all complete lines are removed, a partial line.
+    /// Whether the receive buffer holds unconsumed data. Once [`Conn::next_line`] has returned all complete
+    /// lines, that is a partial line.
     pub fn has_partial_line(&self) -> bool {
         self.consumed < self.input.len()
     }
 
-    /// The receive buffer.
+    /// The receive buffer. After [`Conn::read_chunk`] it holds only unconsumed bytes.
     pub fn receive_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
@@ -170,7 +171,7 @@
 
     /// Writes as much of the send buffer as the socket accepts.
     pub fn flush(&mut self) -> Result<(), EndReason> {
-        if !self.is_established {
+        if !self.connected {
             return Ok(());
         }
         while self.written < self.output.len() {
--- a/node/src/net/exchanges/liveness.rs
+++ b/node/src/net/exchanges/liveness.rs
@@ -52,8 +52,9 @@
         };
         let name = cx.engine.exchange_name(exchange);
         cx.log.line(cx.now, "exchange-checked", format_args!("exchange={name} several={several}"));
-        // The exchange may have dropped an idle connection, and a connection that is only assumed to lead to
-        // the process proves nothing about it.
+        // The check is conclusive only with a connection that was in use recently and is known to lead to the
+        // process: the exchange may have dropped an idle connection, and a connection that is only assumed to
+        // lead to the process proves nothing about it.
         let is_conclusive = self
             .connections
             .get(old_connection)
@@ -67,10 +68,10 @@
         self.ensure_connections(exchange, cx);
     }
 
-    /// Selects the connection to a process that has no unanswered set-ups and has been without data for the
-    /// longest time. Connections with established calls rank lower, because the exchange sends the ends of
-    /// these calls there. If no connection is known to lead to that process, the others are assumed to lead
-    /// to it.
+    /// Selects, among the connections to a process, the one without unanswered set-ups that has received no
+    /// data for the longest time. Connections with established calls rank lower, because the exchange sends
+    /// the ends of these calls there. If no connection is known to lead to that process, the other connections
+    /// to the exchange are assumed to lead to it.
     fn longest_idle_connection(
         &self,
         exchange: ExchangeId,
@@ -240,10 +241,11 @@
     /// Records the first message on a connection. A report within [`FIRST_MESSAGE_TIMEOUT`] shows that the
     /// exchange sends the first message on each new connection.
     pub(super) fn observe_first_message(&mut self, token: Token, verb: &str, cx: &mut Context) {
-        let Some(connection) = self.connections.get_mut(token).filter(|c| !c.has_received) else {
+        let Some(connection) = self.connections.get_mut(token).filter(|c| !c.has_received_message)
+        else {
             return;
         };
-        connection.has_received = true;
+        connection.has_received_message = true;
         let exchange = connection.exchange;
         if verb == "LOAD" && cx.now < connection.connected_at + FIRST_MESSAGE_TIMEOUT {
             cx.engine.peer_sent_first(exchange);
@@ -307,8 +309,8 @@
 }
 
 impl Connection {
-    /// Whether the last data before `at` is recent enough that the exchange cannot have dropped the idle
-    /// connection.
+    /// Whether, at the time `at`, data had been received recently enough that the exchange cannot have dropped
+    /// the connection as idle.
     pub(super) fn was_in_use(&self, at: Duration) -> bool {
         at < self.last_received_at + MIN_PEER_IDLE_TIMEOUT
     }
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -24,8 +24,8 @@
 /// Delay before an unreachable exchange is dialled again when no call requires it. Each consecutive failure
 /// doubles the delay, up to [`MAX_REDIAL_DELAY`].
 const REDIAL_DELAY: Duration = Duration::from_millis(250);
-/// Delay before a connection is replaced that ended without any data received while others are established. It
-/// doubles in the same way.
+/// Delay before replacing a connection that ended without any message received, while others are established.
+/// It doubles in the same way.
 const REPLACE_DELAY: Duration = Duration::from_millis(50);
 /// Upper limit of both delays.
 const MAX_REDIAL_DELAY: Duration = Duration::from_secs(2);
@@ -58,12 +58,12 @@
     phase: Phase,
     /// Active connections, established or being dialled: those that accept new set-ups.
     connections: Vec<Token>,
-    /// Number of consecutive connections that ended without any data received.
+    /// Number of consecutive connections that ended without any message received.
     consecutive_failures: u32,
     /// Whether a redial is already scheduled.
     redial_scheduled: bool,
-    /// The incarnation under check, if it has only one connection. An additional connection is dialled before
-    /// that one is closed.
+    /// The incarnation under check, if the check started with only one established connection to the exchange.
+    /// An additional connection is dialled before that one is closed.
     pending_check: Option<Incarnation>,
     /// Number of consecutive connection resets without any data received in between.
     consecutive_resets: u32,
@@ -80,15 +80,16 @@
     exchange: ExchangeId,
     /// Unanswered set-ups on this connection.
     unanswered: Vec<AttemptToken>,
+    /// When data was last received; before that, when the connection was dialled.
     last_received_at: Duration,
-    /// When the connection was established.
+    /// When the connection was established; before that, when it was dialled.
     connected_at: Duration,
     /// The process at the other end; `None` until the connection is established.
     incarnation: Option<Incarnation>,
     /// When this side closed the connection; the peer has yet to close its side.
     closing_since: Option<Duration>,
     /// Whether any message has been received. The exchange sends the first message on each new connection.
-    has_received: bool,
+    has_received_message: bool,
     /// Number of reports of the trunk group's state received on other connections since the last one on this
     /// connection.
     missed_reports: u32,
@@ -99,7 +100,7 @@
     /// Ids of set-ups recently cancelled on this connection: a late answer to one of them must not be taken
     /// for the answer to the next attempt of the same call.
     cancelled_ids: VecDeque<String>,
-    /// End offsets in the stream of set-ups that are not fully written.
+    /// For each set-up that is not fully written, the offset in the stream at which it ends.
     unwritten_ends: VecDeque<u64>,
 }
 
@@ -282,12 +283,19 @@
     fn pick_connection(&mut self, exchange: ExchangeId, id: &str, cx: &mut Context) -> Option<Token> {
         let peer = self.peers.get(&exchange)?;
         let connections = peer.connections.iter().filter_map(|t| Some((*t, self.connections.get(*t)?)));
-        let avoided =
-            |c: &Connection| c.partial_since.is_some() || c.cancelled_ids.iter().any(|g| g == id);
+        let avoided = |c: &Connection| {
+            c.partial_since.is_some() || c.cancelled_ids.iter().any(|cancelled| cancelled == id)
+        };
         let superseded =
             |c: &Connection| c.incarnation.is_some_and(|i| cx.engine.has_newer(exchange, i));
         let rank = |c: &Connection| {
-            (avoided(c), superseded(c), !c.has_received, !c.socket.is_connected(), c.unanswered.len())
+            (
+                avoided(c),
+                superseded(c),
+                !c.has_received_message,
+                !c.socket.is_connected(),
+                c.unanswered.len(),
+            )
         };
         let selected = connections.min_by_key(|(_, c)| rank(c)).map(|(token, _)| token);
         selected.or_else(|| self.dial(exchange, cx))
@@ -325,7 +333,7 @@
                 connected_at: now,
                 incarnation: None,
                 closing_since: None,
-                has_received: false,
+                has_received_message: false,
                 missed_reports: 0,
                 missing_since: now,
                 partial_since: None,
@@ -395,8 +403,8 @@
                     return;
                 };
                 if self.connections.get(sent.connection).is_some_and(|c| !c.socket.is_connected()) {
-                    // Otherwise the set-up would be sent once the connection is established, when another
-                    // exchange may have the call.
+                    // If the connection were kept, the set-up would be sent once it is established, when
+                    // another exchange may have the call.
                     return self.end(sent.connection, EndReason::ClosedLocally, cx);
                 }
                 if let Some(connection) = self.connections.get_mut(sent.connection) {
@@ -609,8 +617,10 @@
         let connection_count = self.connections.iter().filter(|(_, c)| c.exchange == exchange).count();
         let reporter = self.connections.get(token).and_then(|c| c.incarnation);
         let threshold = MISSED_REPORTS_THRESHOLD * (connection_count as u32 - 1);
-        let others =
-            self.connections.iter_mut().filter(|(_, c)| c.exchange == exchange && c.has_received);
+        let others = self
+            .connections
+            .iter_mut()
+            .filter(|(_, c)| c.exchange == exchange && c.has_received_message);
         for (other, connection) in others {
             if connection.missed_reports == 0 {
                 connection.missing_since = cx.now;
@@ -647,7 +657,7 @@
             return Ok(());
         };
         let exchange = connection.exchange;
-        let (incarnation, is_first) = (connection.incarnation, !connection.has_received);
+        let (incarnation, is_first) = (connection.incarnation, !connection.has_received_message);
         self.observe_first_message(token, &message.verb, cx);
         let attempt = self.by_tag.get(&(exchange, message.tag.clone())).copied();
         // The answer to a set-up arrives on the connection of the set-up. An answer on another connection is
@@ -736,7 +746,7 @@
             cx.engine.connection_refused(cx.now, exchange, cx.timers);
         }
         if was_active {
-            if unreachable || !connection.has_received {
+            if unreachable || !connection.has_received_message {
                 self.schedule_redial(exchange, cx);
             } else {
                 self.ensure_connections(exchange, cx);
--- a/node/src/net/journal.rs
+++ b/node/src/net/journal.rs
@@ -26,6 +26,7 @@
     conn: Option<Conn>,
     /// The number of the current connection. Timers and poll events of earlier connections are stale.
     generation: u64,
+    /// When the last line was received; until the first line, when the connection was dialled.
     last_received_at: Duration,
 }
 
--- a/node/src/net/lifecycle.rs
+++ b/node/src/net/lifecycle.rs
@@ -6,14 +6,15 @@
 /// Delay between the start of a drain and the closing of idle client connections: the clients have this time
 /// to notice the drain through their health checks.
 const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(600);
-/// Delay between the start of a drain and the refusal of set-ups. Calls in transit keep arriving until then,
-/// because the other controllers are not notified of a drain.
+/// Delay between the start of a drain and the refusal of set-ups. The refusal is needed because calls in
+/// transit keep arriving: the other controllers are not notified of a drain.
 const DRAIN_REFUSE_DELAY: Duration = Duration::from_millis(1800);
-/// Time for which connections and set-ups keep arriving after a graceful shutdown is requested.
+/// Time for which connections and set-ups keep arriving after a graceful shutdown is requested. The process
+/// does not exit earlier.
 const MIN_STOP_TIME: Duration = Duration::from_millis(800);
-/// Upper limit of the longest deadline that a graceful shutdown allows for. The platform kills the process
-/// 0.7 s after this deadline, counted from the stop request. The three delays below are counted from the same
-/// deadline.
+/// The longest deadline of any class counts as at most this in a graceful shutdown. The platform kills the
+/// process at the time of the stop request plus this deadline plus 0.7 s. The three delays below also start
+/// when this deadline has passed since the stop request.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// When all calls must have been answered.
 const STOP_ANSWER_DELAY: Duration = Duration::from_millis(300);
@@ -28,9 +29,11 @@
     /// Connections are kept.
     Keep,
     /// Each connection is closed once it has no calls. A connection accepted at or after this time is closed
-    /// once it has been sent its answers, if an older connection can carry the releases of its calls.
+    /// once it has been sent its answers, if an older connection can carry the releases of its calls. A set-up
+    /// on a connection that is kept open only for established calls is refused. If the time is zero, no
+    /// connection is kept for established calls.
     Close(Duration),
-    /// The same, and set-ups are refused, so that no new call keeps a connection open.
+    /// The same, and all set-ups are refused, so that no new call keeps a connection open.
     Refuse(Duration),
 }
 
@@ -76,7 +79,7 @@
         self.stopping_since.is_some()
     }
 
-    /// Whether this process reports that it accepts new calls.
+    /// Whether this process reports that it accepts new calls, in its answers to ECHO and OPTIONS.
     pub fn is_ready(&self) -> bool {
         self.draining_since.is_none() && !self.is_stopping()
     }
@@ -90,7 +93,7 @@
     pub fn client_policy(&self, now: Duration) -> ClientPolicy {
         match self.draining_since {
             // No connection is kept for the releases of established calls: the process that remains takes
-            // them over.
+            // these calls over.
             _ if self.yields_listener() => ClientPolicy::Close(Duration::ZERO),
             Some(at) if now >= at + DRAIN_REFUSE_DELAY => ClientPolicy::Refuse(at + DRAIN_CLOSE_DELAY),
             Some(at) if now >= at + DRAIN_CLOSE_DELAY => ClientPolicy::Close(at + DRAIN_CLOSE_DELAY),
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -32,11 +32,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Timeout for the first complete message on an accepted connection, and for the rest of a partially received
-/// message, on both fronts. Some clients take two seconds to write a message.
+/// message, on both fronts. Some clients take two seconds to write a message. An operator has the same time to
+/// send a command and read its answer.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2700);
 
 /// Maximum number of connections accepted from one listener in one iteration of the event loop. The remaining
-/// ones are accepted in the next iteration, so that they do not starve other peers.
+/// ones are accepted in the next iteration, so that a burst of connections does not starve other peers.
 const ACCEPT_BATCH: usize = 64;
 
 /// The kind of event source that a poll token belongs to; the rest of the poll token is an arena token.
@@ -125,8 +126,8 @@
 }
 
 impl From<EngineTimer> for TimerEvent {
-    fn from(due: EngineTimer) -> Self {
-        TimerEvent::Engine(due)
+    fn from(timer: EngineTimer) -> Self {
+        TimerEvent::Engine(timer)
     }
 }
 
@@ -327,9 +328,9 @@
                 format_args!("event {}, {} lines", list_event.position, entries.len()),
             );
         }
-        while let Some(due) = cx.timers.pop_due(now) {
-            match due {
-                TimerEvent::Engine(due) => cx.engine.timer_due(now, due, cx.timers),
+        while let Some(timer_event) = cx.timers.pop_due(now) {
+            match timer_event {
+                TimerEvent::Engine(engine_timer) => cx.engine.timer_due(now, engine_timer, cx.timers),
                 TimerEvent::ClientAccept => clients.resume_accepting(&mut cx),
                 TimerEvent::ClientTimeout(token) => clients.timeout_due(token, &mut cx),
                 TimerEvent::PartialMessageTimeout(token) => {
--- a/node/src/net/operators.rs
+++ b/node/src/net/operators.rs
@@ -18,7 +18,7 @@
 /// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Reports whether the process is in service.
+    /// Reports whether the process is stopping. A draining process answers like one in service.
     Health,
     /// Reports the statistics.
     Dump,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Handles the timeout of a connection: a command and its answer take less than this time.
+    /// Handles the timeout of a connection: ends it, because a command and its answer take less time.
     pub fn timeout_due(&mut self, token: Token, cx: &mut Context) {
         self.end(token, cx);
     }
