--- a/trials/src/exchange.rs
+++ b/trials/src/exchange.rs
@@ -382,7 +382,7 @@
         }
     }
 
-    /// Ends all calls of the process.
+    /// Ends all calls of the process without sending their releases.
     fn end_all_calls(&mut self, now: Instant) {
         for call in self.calls.values_mut().filter(|c| c.ended_at.is_none()) {
             call.ended_at = Some(now);
--- a/trials/src/load.rs
+++ b/trials/src/load.rs
@@ -24,7 +24,7 @@
     pub at: Instant,
     /// How long the caller waits for an answer.
     pub time_left: Duration,
-    /// When the caller cancelled the set-up or released the call.
+    /// When the caller cancelled the set-up or released the call; `None` if it did neither.
     pub finished_at: Option<Instant>,
     /// The index of the caller's connection that the set-up was sent on.
     pub connection_index: usize,
--- a/trials/src/plan.rs
+++ b/trials/src/plan.rs
@@ -7,7 +7,7 @@
 /// Number of fake exchanges, in the cells from 1 on. Cell 0 is the controller's own exchange; its entry in the list has
 /// the address of the first fake exchange.
 pub const EXCHANGE_COUNT: usize = 3;
-/// The first fault of each exchange is drawn from between these two times. Calls are established by the earlier one.
+/// The time of each exchange's first fault is drawn from this range. At its start, some calls are already established.
 const FIRST_FAULT_FROM_MS: u64 = 1500;
 const FIRST_FAULT_UNTIL_MS: u64 = 5000;
 /// The time of the graceful shutdown in a trial that runs its full length. By then, the controller has had time to
--- a/trials/src/rules.rs
+++ b/trials/src/rules.rs
@@ -7,10 +7,11 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// An answer may come at most this long after its caller's deadline. After that, the call counts as lost.
+/// An answer may come at most this long after its caller's deadline. By a later time, the caller has lost the call.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(550);
 /// A set-up needs no answer if its connection closes, or the controller ends, at most this long after it was sent: the
-/// controller may not have received it, and its caller sends it again.
+/// controller may not have received it. A caller is expected to send it again then, but the callers of a trial
+/// don't.
 const MAX_CLOSE_RACE_DELAY: Duration = Duration::from_millis(50);
 /// The controller forwards a release to the caller within this time after the exchange sent it.
 const MAX_RELEASE_FORWARD_DELAY: Duration = Duration::from_millis(1050);
@@ -78,8 +79,8 @@
     pub established: usize,
     /// Of the established calls, those whose end the controller reported to the caller.
     pub ends_reported: usize,
-    /// Of the established calls, those that ended at their exchange without a release sent in time, because its host
-    /// had failed or it could not send one.
+    /// Of the established calls, those that ended at their exchange and whose release it did not send in time, because
+    /// its host or process had failed or it could not send one. Calls that their caller finished don't count.
     pub without_release: usize,
 }
 
@@ -111,6 +112,8 @@
         format!("{:.3}", at.saturating_duration_since(self.started_at).as_secs_f64())
     }
 
+    /// Checks the answer to a set-up, and the end of the call if one was established. Returns what was wrong, if
+    /// anything.
     fn check_call(
         &self,
         caller: &CallerRecord,
@@ -147,7 +150,8 @@
         self.check_end(set_up, answer, end_reported_at, counts)
     }
 
-    /// Checks a set-up that got no answer.
+    /// Checks a set-up that got no answer. That is allowed if its caller finished it, or if its connection closed or the
+    /// controller ended by `MAX_CLOSE_RACE_DELAY` after it was sent.
     fn check_unanswered(&self, caller: &CallerRecord, set_up: &SentSetUp) -> Option<String> {
         let closed_at = caller.closed_at.get(set_up.connection_index).copied().flatten();
         let is_excuse = |at: Instant| at <= set_up.at + MAX_CLOSE_RACE_DELAY;
