--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -344,10 +344,10 @@
         received.contains(r#""rc":1"#)
     }
 
-    /// Sends a set-up to an exchange. `left`: the time that the caller still waits for the answer, in milliseconds.
-    pub fn send_start(&mut self, tag: &str, left: u32, dest: u32) {
+    /// Sends a set-up to an exchange. `left_ms`: how long the caller still waits for the answer.
+    pub fn send_start(&mut self, tag: &str, left_ms: u32, dest: u32) {
         self.send(&format!(
-            r#"{{"verb":"START","tag":"{tag}","opts":{{"class":"voice","left":"{left}","key":"{tag}","extras":"dest:{dest};width:1;via:-1"}},"blob":"v=0\r\nm=audio \"{tag}\"\r\n"}}"#
+            r#"{{"verb":"START","tag":"{tag}","opts":{{"class":"voice","left":"{left_ms}","key":"{tag}","extras":"dest:{dest};width:1;via:-1"}},"blob":"v=0\r\nm=audio \"{tag}\"\r\n"}}"#
         ));
     }
 
@@ -445,8 +445,8 @@
         .expect("the message is sent");
     }
 
-    /// Waits until the daemon closes or resets the stream. False if it sends bytes instead, or within the timeout
-    /// does nothing, or if this is a UDP peer.
+    /// Waits until the daemon closes or resets the stream. Returns false if the daemon sends bytes instead, if it does
+    /// nothing within the timeout, or if this is a UDP peer.
     pub fn wait_for_close(&mut self) -> bool {
         let SipSocket::Tcp(stream, _) = &mut self.socket else {
             return false;
--- a/node/tests/exchanges.rs
+++ b/node/tests/exchanges.rs
@@ -21,7 +21,8 @@
 }
 
 impl ExchangesHarness {
-    /// Lists the local exchange, and exchange 1, to which a dial starts that is never reported as established.
+    /// Lists the local exchange and exchange 1. The module dials exchange 1, but no event reports that connection as
+    /// established.
     fn new() -> Self {
         let (listener, addr) = common::bind_listener();
         let context_fixture = ContextFixture::new();
--- a/node/tests/lines.rs
+++ b/node/tests/lines.rs
@@ -17,7 +17,7 @@
 }
 
 /// Guards against calls that stay established because the connection of their set-up has closed. The release is sent
-/// on another connection of the caller, also when it crosses that close and is lost with the connection.
+/// on another connection of the caller, even if it was first sent on the closing connection and lost with it.
 #[test]
 fn call_is_answered_and_its_release_is_sent_on_the_clients_next_connection() {
     let (mut daemon, exchange_listener, _journal) = start_daemon();
@@ -30,7 +30,7 @@
         r#"{{"verb":"STARTED","tag":"{TAG}","opts":{{}},"blob":"its own\u0007 words"}}"#
     ));
     insta::assert_snapshot!(client.receive(), @r#"{"verb":"STARTED","tag":"9b1f03aa5c7e2d41","opts":{},"blob":"its own\u0007 words"}"#);
-    // The release may cross this close.
+    // The daemon may send the release before it detects this close.
     drop(client);
     exchange.send(&format!(r#"{{"verb":"FINISH","tag":"{TAG}","opts":{{}},"rc":16}}"#));
     let mut next_client = daemon.connect_client();
@@ -128,8 +128,8 @@
 }
 
 /// Guards against forwarding set-ups that an exchange can't parse, since it would close its connection, and against
-/// numbers out of range that are corrected and served. Each such set-up is refused by its id; without a valid id, its
-/// connection is closed.
+/// numbers out of range that are corrected and served. Each such set-up is refused in an answer with its id; without a
+/// valid id, its connection is closed.
 #[test]
 fn invalid_set_up_is_refused_and_not_forwarded() {
     let (mut daemon, exchange_listener, _journal) = start_daemon();
@@ -227,7 +227,7 @@
     let mut exchange = LinePeer::accept(&exchange_listener);
     let mut caller = daemon.connect_client();
     establish_call(&mut exchange, &mut caller, TAG);
-    // More than 63 clients: from that number on, this configuration closes idle ones.
+    // From 63 clients on, this configuration closes idle ones to make room for new ones.
     let mut silent_clients: Vec<_> = (0..120).map(|_| daemon.connect_client()).collect();
     assert_eq!(
         silent_clients[0].receive(),
@@ -246,7 +246,8 @@
     let mut exchange = LinePeer::accept(&exchange_listener);
     let mut partial_client = daemon.connect_client();
     partial_client.send_bytes(br#"{"verb":"START","#);
-    // More than 63 clients: from that number on, this configuration closes idle ones. Each has had its answer.
+    // From 63 clients on, this configuration closes idle ones to make room for new ones. Each of these clients has had
+    // its answer.
     let mut answered_clients = Vec::new();
     for _ in 0..80 {
         answered_clients.push(daemon.connect_client());
@@ -279,6 +280,7 @@
     establish_call(&mut exchange, &mut disconnected_client, "00000000000000aa");
     drop(disconnected_client);
     establish_call(&mut exchange, &mut other_client, "00000000000000bb");
+    // This ECHO makes the other client the one that was active last.
     assert!(other_client.is_ready(), "the daemon is not ready");
     exchange.send(r#"{"verb":"FINISH","tag":"00000000000000aa","opts":{},"rc":16}"#);
     assert!(confirming_client.receive().contains("00000000000000aa"));
--- a/node/tests/liveness.rs
+++ b/node/tests/liveness.rs
@@ -8,10 +8,10 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Where the exchange can't send a release, the caller receives one within this time after the end of the call.
-const MAX_RELEASE_DELAY: Duration = Duration::from_millis(8050);
-/// The daemon forwards a release that it receives within this time.
-const MAX_FORWARDING_DELAY: Duration = Duration::from_millis(1050);
+/// If the exchange can't send a release, the daemon sends one to the caller within this time after the end of the call.
+const MAX_END_REPORT_DELAY: Duration = Duration::from_millis(8050);
+/// The daemon forwards a release of the exchange to the caller within this time.
+const MAX_RELEASE_FORWARD_DELAY: Duration = Duration::from_millis(1050);
 const TAG: &str = "9b1f03aa5c7e2d41";
 
 /// The daemon with one exchange that can fail, and no journal service.
@@ -57,7 +57,7 @@
         tags
     }
 
-    /// Waits for a time, and meanwhile sends one set-up to the exchange in each interval, if there is one.
+    /// Waits for a time. If there is an interval, sends one set-up to the exchange in each interval meanwhile.
     fn run_for(&mut self, duration: Duration, set_up_interval: Option<Duration>) {
         let end = Instant::now() + duration;
         while let Some(time_left) = end.checked_duration_since(Instant::now()) {
@@ -73,11 +73,11 @@
     fn expect_released(&self, tags: &[String], ended_at: Instant) {
         for tag in tags {
             let time_left =
-                MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()) + Duration::from_secs(1);
+                MAX_END_REPORT_DELAY.saturating_sub(ended_at.elapsed()) + Duration::from_secs(1);
             let released_at = self.caller.wait_end_reported(tag, time_left);
             let delay = released_at.map(|at| at.saturating_duration_since(ended_at));
             eprintln!("{tag} released after {delay:?}");
-            assert!(delay.is_some_and(|d| d <= MAX_RELEASE_DELAY), "{tag} released after {delay:?}");
+            assert!(delay.is_some_and(|d| d <= MAX_END_REPORT_DELAY), "{tag} released after {delay:?}");
         }
     }
 
@@ -97,7 +97,7 @@
                 .expect("the exchange sent the release");
             let delay = received_at.saturating_duration_since(sent_at);
             assert!(
-                delay < MAX_FORWARDING_DELAY && received_at < ended_at + MAX_RELEASE_DELAY,
+                delay < MAX_RELEASE_FORWARD_DELAY && received_at < ended_at + MAX_END_REPORT_DELAY,
                 "{tag} released after {delay:?}"
             );
         }
@@ -106,12 +106,12 @@
 
 /// Guards against calls that stay established at an exchange whose host fails without a reset. `set_up_interval`:
 /// how often a new set-up is sent to it, if at all.
-fn check_failed_host(calls: usize, has_four_connections: bool, set_up_interval: Option<Duration>) {
+fn check_failed_host(call_count: usize, has_four_connections: bool, set_up_interval: Option<Duration>) {
     let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
-    let tags = harness.establish_calls(calls);
+    let tags = harness.establish_calls(call_count);
     harness.exchange.lose_host();
     let ended_at = Instant::now();
-    harness.run_for(MAX_RELEASE_DELAY, set_up_interval);
+    harness.run_for(MAX_END_REPORT_DELAY, set_up_interval);
     harness.expect_released(&tags, ended_at);
 }
 
@@ -155,7 +155,7 @@
     let ended_at = Instant::now();
     harness.run_for(MS(replaced_after_ms), set_up_interval);
     harness.exchange.replace_host();
-    harness.run_for(MAX_RELEASE_DELAY.saturating_sub(ended_at.elapsed()), set_up_interval);
+    harness.run_for(MAX_END_REPORT_DELAY.saturating_sub(ended_at.elapsed()), set_up_interval);
     harness.expect_released(&tags, ended_at);
     let new_tag = harness.next_unused_tag();
     assert!(harness.caller.set_up(&new_tag, Duration::from_secs(9), 1));
@@ -199,7 +199,7 @@
     harness.exchange.crash();
     harness.exchange.restart();
     let ended_at = Instant::now();
-    harness.run_for(MAX_RELEASE_DELAY, None);
+    harness.run_for(MAX_END_REPORT_DELAY, None);
     harness.expect_released(&tags, ended_at);
 }
 
@@ -212,7 +212,7 @@
     harness.exchange.hang();
     let ended_at = Instant::now();
     harness.exchange.release(TAG);
-    harness.run_for(MAX_RELEASE_DELAY, None);
+    harness.run_for(MAX_END_REPORT_DELAY, None);
     harness.expect_released(&tags[..1], ended_at);
 }
 
@@ -254,7 +254,7 @@
     check_silent_live_exchange(behavior, true);
 }
 
-/// Guards against releasing calls at an exchange that hangs or is unreachable for some time and then continues.
+/// Guards against releasing calls at an exchange that hangs, or is unreachable, for some time and then continues.
 fn check_stalled_exchange(stall_ms: u64, has_four_connections: bool, is_unreachable: bool) {
     let mut harness = LivenessHarness::new(Behavior::PROTOCOL, has_four_connections);
     let tags = harness.establish_calls(2);
@@ -366,8 +366,8 @@
     harness.expect_kept_then_released(&tags);
 }
 
-/// Guards against calls that are not released at once when the exchange process dies for good: its connections are
-/// reset and new ones refused.
+/// Guards against calls that are not released soon after the exchange process dies for good: its connections are reset
+/// and new ones refused, which proves that it is down.
 #[test]
 fn calls_are_released_soon_after_the_exchange_crashes() {
     for has_four_connections in [true, false] {
@@ -376,7 +376,7 @@
         harness.exchange.crash();
         let crashed_at = Instant::now();
         for tag in &tags {
-            let released_at = harness.caller.wait_end_reported(tag, MAX_FORWARDING_DELAY);
+            let released_at = harness.caller.wait_end_reported(tag, MAX_RELEASE_FORWARD_DELAY);
             assert!(
                 released_at.is_some(),
                 "{tag} not released {:?} after the crash",
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -9,7 +9,7 @@
 /// Guards, while several faults occur at the same time, against calls without an answer, releases that reach the
 /// caller late or never, calls released although their exchange is alive, and graceful shutdowns that take too long.
 #[test]
-fn invariants_hold_while_exchanges_and_the_journal_service_fail() {
+fn rules_hold_while_exchanges_and_the_journal_service_fail() {
     let program = Path::new(env!("CARGO_BIN_EXE_slateshed"));
     let outcomes: Vec<_> = std::thread::scope(|scope| {
         let trials: Vec<_> = SEEDS.map(|seed| scope.spawn(move || run(seed, program))).collect();
--- a/node/tests/transactions.rs
+++ b/node/tests/transactions.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum number of transactions that a test's table holds.
+/// Number of transactions from which on the tested table rejects new requests that it receives.
 const MAX_TRANSACTIONS: usize = 3;
 
 /// A table of transactions, its timers, and a clock that the test advances.
