--- a/trials/src/rules.rs
+++ b/trials/src/rules.rs
@@ -7,7 +7,8 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// An answer may come at most this long after its caller's deadline. By a later time, the caller has lost the call.
+/// An answer may come at most this long after its caller's deadline. A later one breaks the rule, since the call is
+/// lost by then.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(550);
 /// A set-up needs no answer if its connection closes, or the controller ends, at most this long after it was sent: the
 /// controller may not have received it. A caller is expected to send it again then, but the callers of a trial
