--- a/node/src/arena.rs
+++ b/node/src/arena.rs
@@ -61,7 +61,7 @@
         self.slab.get(slot).filter(|(g, _)| *g == generation).map(|(_, entry)| entry)
     }
 
-    /// The entry for changes, unless it was removed.
+    /// A mutable reference to the entry, unless it was removed.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut T> {
         let (slot, generation) = Self::slot(token);
         self.slab.get_mut(slot).filter(|(g, _)| *g == generation).map(|(_, entry)| entry)
@@ -78,7 +78,7 @@
         self.slab.iter().map(|(slot, (g, entry))| (Token(g << 32 | slot as u64), entry))
     }
 
-    /// All entries for changes, with their tokens.
+    /// Mutable references to all entries, with their tokens.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Token, &mut T)> {
         self.slab.iter_mut().map(|(slot, (g, entry))| (Token(*g << 32 | slot as u64), entry))
     }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,6 @@
-//! Reads and validates the whole configuration: the environment, the file that `ROUTER_CONFIG` names and the
-//! operator's file. All defaults are set here. Every error names the faulty key.
+//! Reads and validates the whole configuration: the environment, the file that `ROUTER_CONFIG` names, and the
+//! operator's file, which `SLATESHED_OPERATOR` names. All defaults are set here. Every error names the faulty
+//! key.
 
 use crate::net::conn::BufferLimits;
 use crate::net::lines;
@@ -82,7 +83,8 @@
         BufferLimits { max_line_bytes, max_buffered_bytes: lines::MAX_MESSAGE_BYTES }
     }
 
-    /// Maximum number of operator connections. When it is reached, a silent one is closed for each new one.
+    /// Maximum number of operator connections. When it is reached, one is closed for each new one: answered
+    /// ones first, then those without a complete command, the oldest first in each case.
     pub fn max_operators(&self) -> usize {
         (self.sockets / 16).clamp(4, 32)
     }
@@ -143,11 +145,12 @@
     pub known: Vec<ListEvent>,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Settings for reading messages.
+    /// Settings that the protocol fronts need.
     pub wire: WireConfig,
     /// Timeout for establishing a connection.
     pub dial_timeout: Duration,
-    /// Settings of the SIP front. `None`, which disables it, if there is no operator's file or none in it.
+    /// Settings of the SIP front; `None` disables it. They are `None` if there is no operator's file, or no
+    /// `sip` table in it.
     pub sip: Option<SipConfig>,
 }
 
@@ -179,7 +182,7 @@
     pub circuits: u32,
 }
 
-/// The settings that are needed to read messages.
+/// The settings that the protocol fronts need to read messages and to probe exchanges.
 #[derive(Clone, Debug, Default)]
 pub struct WireConfig {
     /// Names of the classes, in the order of the settings.
@@ -245,6 +248,7 @@
             .map_err(|_| "seed is not a hexadecimal number of at most 64 bits")?;
         let settings = read::lookup(&root, "settings").ok_or("settings is missing")?;
         let prefixed = |e: String| format!("settings.{e}");
+        // The strings in a list or, if `field` is not empty, that field of each entry.
         let names = |path: &str, field: &str| -> Result<Vec<String>, String> {
             let list = read::list(settings, path).map_err(prefixed)?;
             let name = |v: &JsonValue| match field {
--- a/node/src/end.rs
+++ b/node/src/end.rs
@@ -1,4 +1,5 @@
-//! The reasons for the end of a connection or of an attempt, and the outcome that each is for the controller.
+//! The reasons for the end of a connection or of an attempt, and the outcome that the controller is given for
+//! each.
 
 use slateshed::Outcome;
 use std::fmt;
@@ -57,13 +58,15 @@
     Fault,
     /// The exchange reset the set-up or dropped the call.
     Dropped,
-    /// The call was established at a process that is considered dead.
+    /// The call was established at a process that is considered dead because it has been silent for too long,
+    /// or that is suspected to have failed at the end of a graceful shutdown.
     ExchangeDead,
 }
 
 impl EndReason {
-    /// The outcome that is reported to the controller. Only a connection that was refused or never
-    /// established proves that the set-up did not run; with any other end of a connection it may have run.
+    /// The outcome that is reported to the controller. Only a connection that was refused, never established,
+    /// or reset before use proves that the set-up did not run; with any other end of a connection it may have
+    /// run.
     pub fn outcome(self) -> Outcome {
         match self {
             EndReason::ConnectionRefused
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -159,11 +159,11 @@
     pub established: usize,
     /// Established calls that were released towards their callers, by the reason for the release.
     pub releases: BTreeMap<&'static str, u64>,
-    /// Set-ups that ended without an answer, by the reason.
+    /// Set-ups that ended without establishing the call, by the reason.
     pub attempt_ends: BTreeMap<&'static str, u64>,
     /// Set-ups that were not the first of their call.
     pub retries: u64,
-    /// Liveness checks of exchanges that had established calls and were silent.
+    /// Liveness checks that were started, of exchanges with established calls.
     pub checks: u64,
     /// Observations that indicated that an exchange had failed.
     pub adverse_observations: u64,
@@ -182,7 +182,7 @@
     attempts: u32,
     /// The attempt that is pending or established.
     attempt: Option<AttemptToken>,
-    /// How the last attempt ended.
+    /// How the last set-up that was sent ended.
     last_end: Option<EndReason>,
 }
 
@@ -274,7 +274,8 @@
         })
     }
 
-    /// Retry-after for calls that are refused without a decision of the controller, where callers honour it.
+    /// Retry-after for calls that are refused without a decision of the controller; `None` if none is passed
+    /// on to callers.
     pub fn max_retry_after(&self) -> Option<Duration> {
         Some(self.max_retry_after).filter(|s| !s.is_zero())
     }
@@ -338,6 +339,7 @@
         self.count(class, |r| &mut r.declined);
     }
 
+    /// Counts a final answer to a call of a class.
     fn count(&mut self, class: usize, answer: impl FnOnce(&mut ResultCounts) -> &mut u64) {
         if let Some(results) = self.results.get_mut(class) {
             *answer(results) += 1;
@@ -371,17 +373,17 @@
     pub fn new_call<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
-        new: IncomingCall,
+        incoming: IncomingCall,
         timers: &mut TimerQueue<D>,
     ) -> CallToken {
         let limit = self.stop_by.unwrap_or(Duration::MAX);
         let answer_by =
-            now.saturating_add(new.patience).saturating_sub(ANSWER_DEADLINE_MARGIN).min(limit);
+            now.saturating_add(incoming.patience).saturating_sub(ANSWER_DEADLINE_MARGIN).min(limit);
         let answer_by = answer_by.max(now);
         let call = CallToken(self.calls.insert(Call {
-            info: new.info,
-            class: new.class,
-            destination: new.destination,
+            info: incoming.info,
+            class: incoming.class,
+            destination: incoming.destination,
             answer_by,
             not_before: Duration::ZERO,
             attempts: 0,
@@ -391,14 +393,14 @@
         timers.schedule(answer_by, EngineTimer::AnswerDeadline(call).into());
         let event = Event::Call(NewCall {
             call: CallId(call.0.bits()),
-            class: new.class,
+            class: incoming.class,
             tenant: 0,
-            dialled: new.dialled,
+            dialled: incoming.dialled,
             patience: answer_by - now,
-            destination: new.destination,
-            circuits: new.circuits,
-            route_hint: new.route_hint,
-            origin: new.origin,
+            destination: incoming.destination,
+            circuits: incoming.circuits,
+            route_hint: incoming.route_hint,
+            origin: incoming.origin,
         });
         self.handle_event(now, event, timers);
         call
@@ -557,13 +559,13 @@
         entries: &[NamedEntry],
         timers: &mut TimerQueue<D>,
     ) {
-        let mut dropped = Vec::new();
+        let mut restarted_or_gone = Vec::new();
         let mut list_entries = Vec::with_capacity(entries.len());
         if full {
             for (id, exchange) in &mut self.exchanges {
                 if !entries.iter().any(|e| e.name == exchange.name) && exchange.phase != Phase::Gone {
                     exchange.phase = Phase::Gone;
-                    dropped.push((*id, Duration::MAX));
+                    restarted_or_gone.push((*id, Duration::MAX));
                 }
             }
         }
@@ -583,16 +585,16 @@
             // A restarted process has lost the calls that were established before its start; an exchange that
             // is withdrawn from the list has lost all.
             if entry.phase == Phase::Gone {
-                dropped.push((id, Duration::MAX));
+                restarted_or_gone.push((id, Duration::MAX));
             } else if entry.started_at > exchange.started_at {
-                dropped.push((id, entry.started_at));
+                restarted_or_gone.push((id, entry.started_at));
             }
             (exchange.phase, exchange.started_at) = (entry.phase, entry.started_at);
             list_entries.push(entry.to_list_entry(id));
         }
         let list = if full { ListUpdate::Full(list_entries) } else { ListUpdate::Delta(list_entries) };
         self.pending.push_back(Event::List(list));
-        for (id, answered_until) in dropped {
+        for (id, answered_until) in restarted_or_gone {
             self.drop_calls(now, id, answered_until, timers);
         }
         self.handle_pending(now, timers);
@@ -780,6 +782,7 @@
         }
     }
 
+    /// Carries out one decision of the controller.
     fn execute<D: From<EngineTimer>>(
         &mut self,
         now: Duration,
@@ -810,7 +813,7 @@
             Action::SetTimer { timer, after } => {
                 timers.schedule(now + after, EngineTimer::Controller(timer).into())
             }
-            // The journal service pushes the updates of the list, so that there is nothing to subscribe to.
+            // The journal service pushes the updates of the list, so there is nothing to subscribe to.
             Action::Subscribe => {}
         }
     }
--- a/node/src/engine/liveness.rs
+++ b/node/src/engine/liveness.rs
@@ -13,8 +13,8 @@
 /// A request of the engine to the front that holds the connections to an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionRequest {
-    /// A process with established calls has been silent: cause activity that shows whether it is alive,
-    /// without a probe message where probing is not allowed.
+    /// Check whether a process with established calls is alive, by causing activity that only a living
+    /// process shows. A probe message may be sent only where probing is allowed.
     Check(ExchangeId, Incarnation),
     /// The process at the other end of this incarnation's connections is considered dead: close them.
     Abandon(ExchangeId, Incarnation),
@@ -35,8 +35,8 @@
         self.connection_requests.pop_front()
     }
 
-    /// A requested check has started. `is_conclusive` says whether the connection that is closed for the
-    /// check had been in use, so that the exchange cannot have dropped it as idle.
+    /// A requested check has started. `is_conclusive` says whether the connection or dialog that the check
+    /// uses had been in use, so that the exchange cannot have dropped it as idle.
     pub fn check_started(&mut self, now: Duration, exchange: ExchangeId, is_conclusive: bool) {
         if let Some(entry) = self.exchanges.get_mut(&exchange) {
             entry.liveness.check_started(now, is_conclusive);
--- a/node/src/liveness.rs
+++ b/node/src/liveness.rs
@@ -5,9 +5,9 @@
 //! shows that the process at the other end of that connection is alive, and nothing about any other process.
 //! A new process may be serving at the same address, so each connection belongs to an [`Incarnation`]. A
 //! connection that is established while the current process is suspected to have failed starts a new
-//! incarnation. Later activity on an older connection shows that both lead to the same process, and merges
-//! them. Where the suspicion is weak, both incarnations are assumed to be the same process until there is
-//! evidence against it.
+//! incarnation. Later activity on an older connection shows that both lead to the same process; their
+//! incarnations are then merged into one group. Where the suspicion is weak, both incarnations are assumed to
+//! be the same process until there is evidence against it.
 //!
 //! An incarnation is considered dead, and its calls are dropped, after [`DEAD_PROCESS_TIMEOUT`] without activity,
 //! provided that there is also a sign of failure: failed dials, unanswered set-ups, failed checks, or a newer
@@ -59,8 +59,8 @@
     /// All connections to an incarnation were reset at once, and not for being idle, as happens when a
     /// process dies.
     AllReset(Incarnation),
-    /// A connection to an incarnation that had been in use did not receive the reports that other connections
-    /// received.
+    /// A connection to this incarnation had been in use and did not receive the reports that other
+    /// connections received.
     MissedReports(Incarnation),
     /// The same on an idle connection. Unless the exchange was unreachable in between, it may have dropped
     /// that connection without closing it.
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The incarnation whose connections the sign concerns, if it concerns particular connections.
+    /// The incarnation whose own connections the sign concerns, if the sign names one.
     fn incarnation(self) -> Option<Incarnation> {
         match self {
             FailureSign::Unanswered(_, i) | FailureSign::AllReset(i) | FailureSign::MissedReports(i) => {
@@ -171,7 +171,7 @@
     check_requested_at: Option<Duration>,
     /// Start of the check in progress.
     check_started_at: Option<Duration>,
-    /// Whether the connection that is closed for the check had been in use, so that the exchange cannot have
+    /// Whether the connection or dialog that the check uses had been in use, so that the exchange cannot have
     /// dropped it as idle.
     is_check_conclusive: bool,
     /// Whether the exchange sends data first on each new connection.
@@ -259,26 +259,29 @@
         let Some(newest) = self.groups.last().copied() else {
             return self.begin_incarnation(now, false);
         };
-        let is_checked = self
+        let is_check_unanswered = self
             .check_started_at
             .is_some_and(|since| newest.connected_at.max(newest.last_activity) < since);
         let closes_in_response = self.close_behavior == CloseBehavior::ClosesInResponse;
         let is_stall =
             !self.has_dead_connection && now < self.newest_last_activity() + MAX_STALL_DURATION;
-        let is_suspected = self.failure_weight >= MIN_SUSPICION_WEIGHT && !is_stall;
-        let is_different_process = newest.is_interrupted && (closes_in_response || is_suspected);
-        if is_different_process || is_checked && self.is_check_conclusive && closes_in_response {
+        let is_strongly_suspected = self.failure_weight >= MIN_SUSPICION_WEIGHT && !is_stall;
+        let is_different_process =
+            newest.is_interrupted && (closes_in_response || is_strongly_suspected);
+        if is_different_process || is_check_unanswered && self.is_check_conclusive && closes_in_response
+        {
             return self.begin_incarnation(now, false);
         }
-        if (self.has_failure_signs || is_checked) && !newest.is_assumed_same {
+        if (self.has_failure_signs || is_check_unanswered) && !newest.is_assumed_same {
             let incarnation = self.begin_incarnation(now, true);
             return self.record_connected(now, incarnation, is_stall);
         }
         self.record_connected(now, newest.first, is_stall)
     }
 
-    /// Counts an established connection as activity, if there is no failure sign or the process has only
-    /// stalled. An exchange that sends data first on each connection shows activity only once it has done so.
+    /// Counts an established connection as activity, if there is no failure sign or the signs are explained
+    /// by a stall (see [`MAX_STALL_DURATION`]). An exchange that sends data first on each connection shows
+    /// activity only once it has done so.
     fn record_connected(
         &mut self,
         now: Duration,
@@ -375,14 +378,15 @@
     }
 
     /// A requested check has started; silence alone, without a started check, is no sign of failure.
-    /// `is_conclusive` says whether the connection that is closed for the check had been in use.
+    /// `is_conclusive` says whether the connection or dialog that the check uses had been in use.
     pub fn check_started(&mut self, now: Duration, is_conclusive: bool) {
         self.check_started_at = Some(now);
         self.is_check_conclusive = is_conclusive;
     }
 
     /// When a process is to be checked: after it has been silent, and repeatedly while it remains silent. A
-    /// process that is assumed to be alive is checked less often.
+    /// process that is assumed to be alive is checked less often. As long as the close behavior is unknown,
+    /// checks do not wait for silence.
     fn next_check(&self, now: Duration, index: usize) -> Duration {
         if self.close_behavior == CloseBehavior::Unknown {
             let first = self.first_review_at.map_or(now, |at| at + FIRST_CHECK_DELAY);
@@ -394,7 +398,10 @@
         next.max(self.groups[index].last_activity + CHECK_DELAY)
     }
 
-    /// Ends a check that has timed out. It has failed if there was no activity since its start.
+    /// Ends a check that has timed out. It has failed if there was no activity since its start. If only newer
+    /// connections had activity, although the process would have closed the old one in response, they lead to
+    /// a different process. This is concluded only if the old connection had been in use or the exchange was
+    /// unreachable for a while; otherwise the exchange may have dropped the old connection as idle.
     fn finish_check(&mut self, now: Duration, processes_with_calls: &BTreeSet<Incarnation>) {
         let Some(since) = self.check_started_at.filter(|since| now >= *since + CHECK_TIMEOUT) else {
             return;
--- a/node/src/log_events.rs
+++ b/node/src/log_events.rs
@@ -27,7 +27,7 @@
         call: String,
         /// Number of its attempts.
         attempts: u32,
-        /// How the last attempt ended.
+        /// How the last set-up that was sent ended; `None` if none was sent.
         last: Option<EndReason>,
     },
     /// A call has failed.
@@ -36,7 +36,7 @@
         call: String,
         /// Number of its attempts.
         attempts: u32,
-        /// How the last attempt ended.
+        /// How the last set-up that was sent ended; `None` if none was sent.
         last: Option<EndReason>,
     },
     /// A call is set up again.
@@ -47,7 +47,7 @@
         exchange: String,
         /// The number of this attempt, counted from 0.
         attempt: u32,
-        /// How the previous attempt ended.
+        /// How the last set-up that was sent before it ended; `None` if none was sent.
         after: Option<EndReason>,
     },
     /// An exchange with established calls is suspected to have failed.
@@ -75,7 +75,7 @@
         /// Time since the last activity.
         silent_for: Duration,
     },
-    /// An update of the list changed the phase of an exchange.
+    /// An update of the list changed the phase of an exchange or reported its restart.
     PhaseChanged {
         /// The exchange.
         exchange: String,
@@ -118,7 +118,7 @@
 /// Maximum number of lines of any other kind in one rate limit interval.
 const MAX_LINES: u32 = 10;
 
-/// Formats how the last attempt ended; `none` if there was no attempt.
+/// Formats how the last set-up that was sent ended; `none` if none was sent.
 struct LastEnd<'a>(&'a Option<EndReason>);
 
 impl fmt::Display for LastEnd<'_> {
