--- a/plugin/src/lib.rs
+++ b/plugin/src/lib.rs
@@ -238,8 +238,8 @@
     }
 
     /// Sets the number of circuits (connections, streams) to an exchange of the list. The plug-in counts how many
-    /// of them its own requests occupy. Without a number, the controller assumes that
-    /// circuits to the exchange are always free.
+    /// of them its own requests occupy. If no number is set, the controller assumes that circuits to the
+    /// exchange are always free.
     pub fn set_circuits(&self, exchange: &str, size: u32) {
         let mut shared = self.lock();
         if let Some(exchange) = shared.directory.id(exchange) {
@@ -326,7 +326,7 @@
         .await;
     }
 
-    /// Records the start of an attempt, and returns the name of its exchange; none if the list no longer has it.
+    /// Records the start of an attempt, and returns the name of its exchange, if still listed.
     fn start_attempt(&mut self, now: Duration, exchange: ExchangeId) -> Option<String> {
         let mut shared = self.handle.lock();
         let name = shared.directory.name(exchange).map(str::to_owned);
--- a/src/control.rs
+++ b/src/control.rs
@@ -15,8 +15,8 @@
 /// Lower bound, below which it counts as recovered, over the upper one: the paper's best pair is 60 and 80.
 const LOWER_BOUND_RATIO: f64 = 0.6;
 /// Limits of the upper bound as a response ratio (delay over reference delay). 3: the lowest delay of a
-/// processor observed only while slow is too high a reference, so it is capped to give this ratio. 80: the
-/// paper's best upper bound, for a very low reference delay.
+/// processor observed only while slow is too high a reference, which is therefore at most a third of the
+/// upper bound. 80: the paper's best upper bound, for a very low reference delay.
 const UPPER_RATIO_LIMITS: (f64, f64) = (3.0, 80.0);
 /// Time constant, in seconds, of the exponential smoothing of delays: the design asks for about two.
 const SMOOTHING_TIME_SECS: f64 = 2.0;
@@ -40,7 +40,7 @@
 /// Retry-after of a refused call that could still be answered in time, as a share of the time left to its
 /// target delay: it leaves room for the signalling, processing and waiting of one or two more tries.
 const RETRY_AFTER_SHARE: f64 = 0.2;
-/// Share of the limit on set-ups in flight that late calls may use: they can earn less than half.
+/// Share of the limit on set-ups in flight that late calls may use: they earn less than half their worth.
 const LATE_IN_FLIGHT_SHARE: f64 = 0.3;
 /// Weight of one caller in the mean patience, which averages over about thirty callers.
 const PATIENCE_WEIGHT: f64 = 0.03;
@@ -51,14 +51,14 @@
 const MIN_OUTCOMES: usize = 4;
 /// Time without an event that counts as a stall of this controller, as a share of the mean target delay.
 const STALL_TIME_SHARE: f64 = 0.2;
-/// Trunk reservation: circuits that a tandem call leaves free, in square roots of the group size; at least 1.
+/// Trunk reservation against tandem and late calls, in square roots of the group size; at least one circuit.
 const RESERVATION_SQRT_RATIO: f64 = 0.5;
 /// Initial backoff, in seconds, for the trunk group from a tandem that refused a call to the destination: the
 /// mean time in which a full group of some tens of circuits gets a free one and other calls take it.
 const INITIAL_TANDEM_BACKOFF_SECS: f64 = 1.0;
 /// A call tries no tandem after this many failed processors: a tandem's refusal costs work on two processors.
 const MAX_TANDEM_ATTEMPTS: usize = 2;
-/// Retries of a call on one processor after faults and lost connections, which may concern one set-up only.
+/// Retries of a call that may use the same processor: a fault or lost connection may concern one set-up only.
 const MAX_SAME_PROCESSOR_RETRIES: u32 = 4;
 /// Number of consecutive faults, with no other answer between, after which a processor counts as failed.
 const CONSECUTIVE_FAULT_LIMIT: u32 = 50;
@@ -121,7 +121,7 @@
         self.newest_sent_at = self.newest_sent_at.max(sent_at);
     }
 
-    /// The higher of the smoothed delay and the age of the oldest unanswered set-up less the local delay.
+    /// The smoothed delay, or the age of the oldest unanswered set-up less the local delay if that is higher.
     fn expected(&self, now: Duration, local: &LocalDelay) -> f64 {
         let oldest = self.unanswered.first();
         let age = oldest.map_or(0.0, |(sent_at, _)| {
@@ -147,14 +147,14 @@
     }
 }
 
-/// Delay, in seconds, that the local processor adds to all observed ones; not to count against remote ones.
+/// The delay that the local processor adds to all observed delays; it must not count against remote ones.
 #[derive(Debug, Default)]
 struct LocalDelay {
-    /// Recent outcomes: the time, the excess over the lowest delay of the processor, whether it is an answer.
+    /// Recent outcomes: time, excess over the lowest delay of the processor, and whether it is an answer.
     outcomes: VecDeque<(Duration, f64, bool)>,
     /// The lowest delay of any answer, for processors that have not answered yet.
     lowest: f64,
-    /// Minimum of these excess delays: a delay common to all recent outcomes arises here.
+    /// Minimum of the excess delays in `outcomes`, seconds: a delay common to all recent ones arises here.
     delay: f64,
     /// Whether the local processor is congested for originating calls, by the same two bounds.
     congested: bool,
@@ -168,7 +168,7 @@
 struct Peer {
     number: ExchangeNumber,
     zone: u32,
-    /// A processor that is gone is kept until its number has another: the trunk group outlives it.
+    /// A processor that is gone is kept until its number gets another processor: the trunk group outlives it.
     phase: Phase,
     started_at: Duration,
     /// When this controller learned of that start.
@@ -182,7 +182,7 @@
 }
 
 impl Peer {
-    /// Number of circuits that a call over this tandem leaves free on its first leg.
+    /// Number of circuits of this trunk group that tandem, transit and late calls leave free.
     fn reserve(&self, priority: Priority) -> u32 {
         if priority == Priority::High {
             return 0;
@@ -197,7 +197,7 @@
 
 #[derive(Debug)]
 enum CallState {
-    /// Between attempts, until this time.
+    /// No attempt is pending; the call is decided again at this time.
     Waiting(Duration),
     /// An attempt is pending: its processor, and when it was sent.
     Pending(ExchangeId, Duration),
@@ -273,7 +273,7 @@
     remote_groups: BTreeMap<(ExchangeNumber, ExchangeNumber), RemoteGroup>,
     /// Numbers found busy: the interval between calls in seconds, and when the next call may go.
     busy_numbers: BTreeMap<DialledNumber, (f64, Duration)>,
-    /// First tries of refused and failed calls, to recognise redials: the time, and when the entry expires.
+    /// First tries of refused, failed and abandoned calls, to recognise redials: the time, and the expiry.
     first_tries: BTreeMap<DialledNumber, (Duration, Duration)>,
     /// Number of entries in `first_tries` after expired ones were last removed, at least 64.
     first_tries_kept: usize,
@@ -405,8 +405,8 @@
         let answers = local.outcomes.iter().filter(|(t, _, a)| *a && *t + SAMPLE_PERIOD >= now).count();
         self.peak_answer_rate = self.peak_answer_rate.max(answers as f64);
         self.max_answer_rate = self.max_answer_rate.max(self.peak_answer_rate);
-        let excess = local.outcomes.iter().map(|(_, e, _)| *e).fold(f64::INFINITY, f64::min);
-        local.delay = if local.outcomes.len() < MIN_OUTCOMES { 0.0 } else { excess.max(0.0) };
+        let min_excess = local.outcomes.iter().map(|(_, e, _)| *e).fold(f64::INFINITY, f64::min);
+        local.delay = if local.outcomes.len() < MIN_OUTCOMES { 0.0 } else { min_excess.max(0.0) };
         let upper = self.mean_target * self.stay_ratio * UPPER_BOUND_SHARE;
         local.congested =
             local.delay > upper || local.congested && local.delay > upper * LOWER_BOUND_RATIO;
@@ -503,16 +503,16 @@
 
     // ---- Route choice ---------------------------------------------------------------------------
 
-    /// The processor in service at a number, for all routes: no set-up reaches one that is draining or gone.
+    /// The processor in service at a number. All routes use it, so none goes to a draining or gone processor.
     fn processor_at(&self, number: ExchangeNumber) -> Option<ExchangeId> {
         self.in_service.get(&number).copied()
     }
 
     /// Chooses the tandem of lowest smoothed delay (zero without samples) that is not congested and has room
     /// on its first leg. Tandems whose second leg had room come first: the route hint, then those whose last
-    /// call there was answered. Where some exchanges have no trunk group between them, half of the other
-    /// tries are refused, at the cost of work on two processors. The seed breaks ties, so that controllers
-    /// choose different tandems.
+    /// call there was answered. Where some exchanges have no trunk group between them, half of the set-ups
+    /// over other tandems are refused, at the cost of work on two processors. The seed breaks ties, so that
+    /// controllers choose different tandems.
     fn choose_tandem(&mut self, call: CallId, info: &NewCall, priority: Priority) -> Option<ExchangeId> {
         let ids: Vec<_> = self.in_service.iter().map(|(n, id)| (*n, *id)).collect();
         let mut best: Option<((u32, f64, u64), ExchangeId)> = None;
@@ -894,8 +894,8 @@
 
     // ---- Rule checks ----------------------------------------------------------------------------
 
-    /// Checks the rules for a set-up, except that for draining exchanges: none to the local exchange or to a
-    /// pool that does not serve the class, the cold budget, and repeats of a set-up that may have run.
+    /// Whether a set-up is within the cold budget, does not go to the local exchange or to a pool that does
+    /// not serve the class, and is no forbidden repeat. `processor_at` excludes draining exchanges.
     fn may_send(&self, record: &CallRecord, exchange: ExchangeId) -> bool {
         let Some(peer) = self.peers.get(&exchange) else {
             return false;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -34,7 +34,7 @@
     Deduplicated {
         /// The exchanges that recognise the repeats.
         scope: DedupScope,
-        /// How long after the first set-up that may have run repeats are recognised.
+        /// How long repeats are recognised, counted from the first set-up that may have run.
         window: Duration,
     },
     /// After a set-up that may have run, the call must neither be set up again nor be refused.
@@ -83,7 +83,7 @@
 /// How the exchanges are connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// Trunk groups between exchanges; this controller serves the local one.
+    /// Trunk groups between exchanges; this controller serves the local exchange.
     Mesh {
         /// The local exchange.
         local: ExchangeNumber,
@@ -104,7 +104,8 @@
 /// Parameters of the five rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Time after the notice of a drain within which new set-ups to the exchange must end.
+    /// Time after the notice of a drain within which new set-ups to the exchange must end. The controller
+    /// sends none from the notice on, and does not use this value.
     pub drain_grace: Duration,
     /// A cold exchange becomes overloaded if it is sent more than this multiple of its current capacity.
     pub overload_multiple: f64,
@@ -125,9 +126,11 @@
     pub topology: Topology,
     /// Classes; calls refer to them by index.
     pub classes: Vec<Class>,
-    /// Quota of each tenant, in set-ups a second over all controllers; may be empty.
+    /// Quota of each tenant, in set-ups a second over all controllers; may be empty. The controller checks
+    /// it at the start but takes no decision by it.
     pub tenant_quota: Vec<f64>,
-    /// Worth of a call beyond its tenant's quota, as a share of the worth of its class.
+    /// Worth of a call beyond its tenant's quota, as a share of the worth of its class; no decision uses it
+    /// either.
     pub over_share_worth: f64,
     /// Parameters of the five rules.
     pub rules: Rules,
@@ -139,7 +142,7 @@
     pub max_attempts: u32,
     /// Minimum time between two runs of the controller.
     pub tick_interval: Duration,
-    /// Interval at which the network retransmits an unanswered set-up; zero: never.
+    /// Interval at which the network retransmits an unanswered set-up; zero: never. Not used in decisions.
     pub resend_interval: Duration,
     /// How changes of the list arrive.
     pub discovery: Discovery,
@@ -187,7 +190,7 @@
 /// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The name of the setting.
+    /// The name of the setting in error messages; it can differ from the name of the field.
     pub setting: &'static str,
     /// The accepted values.
     pub expected: &'static str,
@@ -286,7 +289,7 @@
     pub call: CallId,
     /// Index of its class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of its tenant in the settings. Not used in decisions.
     pub tenant: usize,
     /// The number dialled.
     pub dialled: DialledNumber,
@@ -415,7 +418,8 @@
         /// Time after which the caller should redial.
         retry_after: Option<Duration>,
     },
-    /// Give the final answer: failed.
+    /// Give the final answer: failed. Used in place of a refusal where the call may have run and a redial
+    /// could run it twice, and for a call of an unknown class.
     Fail(CallId),
     /// Send [`Event::Timer`] after a time.
     SetTimer {
--- a/tests/controller/common.rs
+++ b/tests/controller/common.rs
@@ -7,6 +7,7 @@
     Duration::from_millis(n)
 }
 
+/// Settings of one of four controllers in a mesh, with one class of calls.
 pub fn settings() -> Settings {
     Settings {
         topology: Topology::Mesh { local: ExchangeNumber(0) },
@@ -39,6 +40,7 @@
     }
 }
 
+/// A list entry of the processor at a number.
 pub fn entry(number: u32, phase: Phase, started_at: Duration) -> ListEntry {
     ListEntry {
         exchange: ExchangeId(10 + number),
@@ -54,6 +56,7 @@
     ExchangeId(10 + number)
 }
 
+/// Drives a controller with a simulated clock.
 pub struct Host {
     pub controller: Controller,
     pub now: Duration,
--- a/tests/controller/failures.rs
+++ b/tests/controller/failures.rs
@@ -242,7 +242,7 @@
 
 /// Guards against calls that wait for a route until their callers have left.
 #[test]
-fn calls_do_not_wait_for_a_route_where_callers_abandon_early() {
+fn calls_no_longer_wait_for_a_route_once_callers_abandon_early() {
     let mut host = Host::new(settings());
     for n in 1..4 {
         host.set_free_circuits(n, 0);
@@ -263,7 +263,7 @@
     );
 }
 
-/// Guards against callers of a busy number who redial at once and load the processors with vain set-ups.
+/// Guards against callers of a busy number who redial at once and load the processors with set-ups that cannot succeed.
 #[test]
 fn calls_to_a_busy_number_are_spaced_but_not_calls_to_other_numbers() {
     let mut host = Host::new(settings());
@@ -692,8 +692,8 @@
     assert_eq!(sent.count(), 2, "one set-up that is due and one kept");
 }
 
-/// Guards against a call that waits for its release delay until it is late: after a late reset it is not set up
-/// again, and its caller is refused at once.
+/// Guards against a call that waits for its release delay until it is late: after a late reset of a set-up over
+/// a tandem, the call is not set up again, and its caller is refused at once.
 #[test]
 fn a_call_that_the_release_delay_would_make_late_is_refused_at_once() {
     for (reset_after, retried) in [(200, true), (1100, false)] {
--- a/tests/controller/rules.rs
+++ b/tests/controller/rules.rs
@@ -29,7 +29,7 @@
 
 /// Guards against a call that waits for its release delay beyond its deadline.
 #[test]
-fn a_call_whose_release_delay_exceeds_the_patience_is_refused() {
+fn a_call_whose_release_delay_exceeds_the_remaining_patience_is_refused() {
     let mut host = Host::new(settings());
     host.set_free_circuits(1, 0);
     let mut new = host.new_call(1);
