--- a/src/control.rs
+++ b/src/control.rs
@@ -132,7 +132,7 @@
 
     /// Updates the congestion flag, with hysteresis. The age of the oldest unanswered set-up counts as an
     /// observed delay: this detects processors that answer nothing (hang, crash, lost link) before a time-out
-    /// does. One lost answer can set the flag wrongly; once that set-up has ended, a trial set-up corrects it.
+    /// does. One lost answer can set the flag wrongly; after that set-up ends, a trial set-up corrects it.
     fn update_flag(&mut self, now: Duration, target: f64, local: &LocalDelay) -> bool {
         let reference =
             self.lowest.unwrap_or(f64::INFINITY).min(target * UPPER_BOUND_SHARE / UPPER_RATIO_LIMITS.0);
