--- a/node/src/net/sip/checks.rs
+++ b/node/src/net/sip/checks.rs
@@ -13,15 +13,15 @@
 const CALL_DOES_NOT_EXIST: u16 = 481;
 
 impl Sip {
-    /// Carries out a request of the engine. Only `Check` needs an action here, since the calls at a dead exchange are
-    /// ended one by one.
+    /// Carries out a request of the engine. `Abandon` needs no action here: a dialog is not bound to a connection, and
+    /// the engine ends the calls at a dead exchange one by one.
     pub fn handle_connection_request(&mut self, request: ConnectionRequest, cx: &mut Context) {
         if let ConnectionRequest::Check(exchange, _) = request {
             self.check_exchange(exchange, cx);
         }
     }
 
-    /// Checks an exchange with an OPTIONS within the one of its dialogs that was checked longest ago.
+    /// Checks an exchange with an OPTIONS within one of its dialogs: the one that was checked longest ago.
     fn check_exchange(&mut self, exchange: ExchangeId, cx: &mut Context) {
         let is_at_exchange = |party| match party {
             Party::Exchange(attempt) => cx.engine.attempt_exchange(attempt) == Some(exchange),
--- a/node/src/net/sip/commands.rs
+++ b/node/src/net/sip/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the engine to the SIP front: set-ups, answers and releases, each carried out on its leg.
+//! Commands of the engine to the SIP front: set-ups, final responses and releases, each carried out on its leg.
 
 use super::dialog::Dialog;
 use super::message;
--- a/node/src/net/sip/dialog.rs
+++ b/node/src/net/sip/dialog.rs
@@ -30,7 +30,7 @@
     pub local_cseq: u32,
     /// The remote sequence number (CSeq).
     pub remote_cseq: u32,
-    /// Where requests within the dialog are sent.
+    /// Where requests within the dialog, and retransmissions of the 2xx to its INVITE, are sent.
     pub next_hop: Target,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Dialog {
-    /// The dialog on the UAS side, from the INVITE received.
+    /// Creates the dialog on the UAS side from the received INVITE.
     pub fn for_uas(invite: &Message, local_tag: &str, source: Target) -> Self {
         let header_text = |name| invite.header(name).unwrap_or_default().to_owned();
         let mut dialog = Dialog {
@@ -72,8 +72,8 @@
     }
 
     /// Sets the remote target from Contact and the route set from Record-Route; the UAC reverses the order of the
-    /// latter. The next hop is the first route, or Contact if there is none; it stays unchanged if that URI
-    /// contains a host name instead of an IP address.
+    /// latter. The address of the next hop is that of the first route, or of Contact if there is no route; it stays
+    /// unchanged if that URI contains a host name instead of an IP address. A known TCP connection stays in use.
     fn update_target(&mut self, message: &Message, is_uac: bool) {
         let mut routes: Vec<Routing> = message.headers.get(Name::RECORD_ROUTE).unwrap_or_default();
         if is_uac {
--- a/node/src/net/sip/incoming.rs
+++ b/node/src/net/sip/incoming.rs
@@ -18,7 +18,8 @@
 /// Upper limit for the Retry-After of an exchange. Without it, one wrong header value would keep the exchange out
 /// of use for as long as it says.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(32);
-/// Retry-After, in seconds, sent when the limit of transactions or legs is reached: by then some may have ended.
+/// Retry-After, in seconds, sent while the limit of transactions or legs is reached. After that time, some of them
+/// may have ended.
 const FULL_RETRY_AFTER_SECS: &str = "5";
 
 impl Sip {
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Acknowledges and releases the call at a second exchange behind a forking proxy that has answered as well.
+    /// A second exchange behind a forking proxy has answered as well: acknowledges its 2xx and releases the call there.
     pub(super) fn release_fork(&mut self, leg_token: Token, response: &Message, cx: &mut Context) {
         let Some(mut dialog) = self.legs.get(leg_token).map(|leg| leg.dialog.clone()) else {
             return;
@@ -353,7 +354,7 @@
 }
 
 /// The called number in the form that the decision module uses: the value of the text if it is a hexadecimal
-/// number, otherwise its FNV-1a hash.
+/// number of at most 64 bits, otherwise its FNV-1a hash.
 fn dialled_number(called_number: &str) -> DialledNumber {
     let hash_byte = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
     let hex_value = u64::from_str_radix(called_number, 16).ok();
--- a/node/src/net/sip/message.rs
+++ b/node/src/net/sip/message.rs
@@ -197,7 +197,7 @@
         contacts.into_iter().next().map(|c| c.uri.uri)
     }
 
-    /// The first value of a header field.
+    /// The first value of a header field, without surrounding white space.
     pub fn header(&self, name: Name) -> Option<&str> {
         self.headers.get_raw(&name).next().map(|v| v.trim())
     }
@@ -310,7 +310,7 @@
         let wrong_cseq = INVITE.replace("CSeq: 1 INVITE", "CSeq: 1 BYE");
         assert!(
             matches!(parse(wrong_cseq.as_bytes()), Err(Malformed::Request(..))),
-            "a wrong CSeq method must allow a 400 response"
+            "a request with a wrong CSeq method can be answered with 400"
         );
     }
 }
--- a/node/src/net/sip/mod.rs
+++ b/node/src/net/sip/mod.rs
@@ -62,24 +62,26 @@
     Exchange(AttemptToken),
 }
 
-/// One side of a call.
+/// One SIP side of a call: the dialog with its caller or with its exchange.
 struct Leg {
     party: Party,
     state: LegState,
     dialog: Dialog,
     /// The transaction of its INVITE.
     invite_transaction: Token,
-    /// Caller's leg: the header fields of the INVITE, from which its final response is built.
+    /// Caller's leg: the header fields of the INVITE, from which its final response is built. The response is sent
+    /// in `invite_transaction`.
     invite_headers: Headers,
     /// Exchange's leg: the parts of the INVITE that a CANCEL repeats.
     sent_invite: Option<Rc<SentInvite>>,
     /// Exchange's leg: a CANCEL has been sent.
     cancel_sent: bool,
-    /// The message to retransmit: the 2xx to the caller, or the ACK of a 2xx to the exchange. Empty before that.
+    /// The message to retransmit: the 2xx to the caller, or the ACK of a 2xx to the exchange. Empty until
+    /// that message is written.
     retransmission: Rc<[u8]>,
     /// Caller's leg: the current retransmission interval of the 2xx.
     retransmit_interval: Duration,
-    /// When the leg was created, answered or terminated, whichever was last.
+    /// When the leg was created or `state` last changed; the change to `Confirmed` is not recorded.
     state_changed_at: Duration,
     /// Exchange's leg: when it was created, or last checked with an OPTIONS within the dialog.
     last_checked_at: Duration,
@@ -93,8 +95,8 @@
     transport: Transport,
     transactions: Transactions,
     legs: Arena<Leg>,
-    /// Maximum number of legs, above which new calls are rejected. It counts terminated legs, too, which are kept
-    /// for a while.
+    /// While there are this many legs or more, new calls are rejected. Terminated legs count, too, until they are
+    /// removed. Legs towards exchanges count as well, but a new one is always accepted.
     max_legs: usize,
     /// The caller's leg of a call.
     legs_by_call: HashMap<CallToken, Token>,
@@ -200,7 +202,7 @@
         format!("{:016x}", z ^ (z >> 31))
     }
 
-    /// The local address, as text for header fields.
+    /// The local address, as text for header fields; 127.0.0.1 if the front does not listen on this protocol.
     fn local_address(&self, protocol: Protocol) -> String {
         self.transport.local_addr(protocol).map_or("127.0.0.1".to_owned(), |a| a.to_string())
     }
@@ -283,8 +285,8 @@
         }
     }
 
-    /// Closes a stream and ends the unanswered calls on it. Established calls stay, since a dialog is not bound to a
-    /// connection.
+    /// Closes a stream and ends the unanswered calls and attempts on it. Answered ones stay, since a dialog is not
+    /// bound to a connection.
     fn stream_ended(&mut self, stream_token: Token, end_reason: EndReason, cx: &mut Context) {
         let Some(peer) = self.transport.peer(stream_token) else {
             return;
@@ -341,7 +343,8 @@
         self.process_output(cx);
     }
 
-    /// Carries out the actions that the transactions have asked for: sends messages and starts timers.
+    /// Carries out the actions that the transactions have asked for: sends messages and starts timers. The leg of an
+    /// INVITE stores the connection that was used, so that its later messages are sent on it, too.
     fn process_output(&mut self, cx: &mut Context) {
         while !self.pending_output.is_empty() {
             for output in std::mem::take(&mut self.pending_output) {
@@ -369,7 +372,8 @@
         }
     }
 
-    /// Ends the leg of a transaction that timed out or whose message could not be sent.
+    /// Removes a transaction that timed out or whose message could not be sent. If it is that of an INVITE, its leg
+    /// ends, too.
     fn transaction_failed(&mut self, transaction: Token, end_reason: EndReason, cx: &mut Context) {
         self.transactions.terminate(transaction);
         self.legs_by_options.remove(&transaction);
--- a/node/src/net/sip/transaction.rs
+++ b/node/src/net/sip/transaction.rs
@@ -1,6 +1,6 @@
 //! The client and server transactions of RFC 3261, section 17, with the Accepted states of RFC 6026:
-//! retransmission, absorption of received retransmissions, and timeouts. This module does no I/O; it returns
-//! what has to be done as [`Output`]. "TU" is the transaction user of RFC 3261: here, the code that handles legs
+//! sending and absorbing retransmissions, and timeouts. This module does no I/O; it returns what has to be
+//! done as [`Output`]. "TU" is the transaction user of RFC 3261: here, the code that handles legs
 //! and dialogs.
 
 use super::message::{self, Message};
@@ -21,7 +21,7 @@
 }
 
 /// Destination of a message. Over TCP, the message is sent on the given connection if that is still open, and
-/// otherwise on any connection to the address.
+/// otherwise on any connection to the address, which is opened if there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The transport protocol.
@@ -65,7 +65,7 @@
     F,
     /// Retransmits a non-2xx final response to an INVITE.
     G,
-    /// Timeout of a non-2xx final response without an ACK.
+    /// Timeout of a non-2xx final response to an INVITE without an ACK.
     H,
     /// Ends the wait for retransmissions of an ACK.
     I,
@@ -121,7 +121,7 @@
     Absorbed,
     /// A response that matches no client transaction.
     Stray,
-    /// A new request above the limit of transactions. Any response has to be sent without a transaction.
+    /// A new request while the limit of transactions is reached. Any response has to be sent without a transaction.
     TableFull,
 }
 
@@ -171,7 +171,8 @@
 }
 
 /// Identifies a transaction (RFC 3261, sections 17.1.3 and 17.2.3). A branch without the magic cookie comes from
-/// an RFC 2543 sender and need not be unique; Call-ID, CSeq number and From tag then replace it.
+/// an RFC 2543 sender and need not be unique; Call-ID, CSeq number and From tag then replace it. In a server
+/// transaction, the sent-by of the topmost Via is part of `branch`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Key {
     is_client: bool,
@@ -196,8 +197,8 @@
 /// The table of all client and server transactions.
 pub struct Transactions {
     times: Times,
-    /// Maximum number of transactions. Above it, new requests received are rejected, since over UDP each would be
-    /// kept for 64 times T1. Requests sent from here are not limited.
+    /// While there are this many transactions or more, new requests received are rejected, since over UDP each would
+    /// be kept for 64 times T1. Requests sent from here are not limited.
     max_transactions: usize,
     table: Arena<Transaction>,
     tokens_by_key: HashMap<Key, Token>,
@@ -349,7 +350,7 @@
                     return ReceiveResult::Ack
                 }
                 // Accepted: the TU retransmits the 2xx. Confirmed: the ACK has arrived, nothing is retransmitted.
-                // In all other states a retransmitted request is answered with the last response again.
+                // In all other states a retransmitted request is answered with the last response again, if any.
                 (Kind::InviteServer, State::Confirmed | State::Accepted) => {}
                 _ if *method != Method::ACK && !transaction.last_message.is_empty() => {
                     output.push(Output::Send(
--- a/node/src/net/sip/transport.rs
+++ b/node/src/net/sip/transport.rs
@@ -134,7 +134,7 @@
     }
 
     /// Registers a stream and starts its first timeout. `is_connected` is true for an accepted stream and false for
-    /// one that is being opened from here. Returns `None` if there is no room for it.
+    /// one that is being opened from here. Returns `None` if there is no room for it or registering it fails.
     fn add_stream(
         &mut self,
         mut socket: TcpStream,
@@ -147,7 +147,11 @@
             self.close_silent_stream(cx);
         }
         if self.streams.len() >= self.limits.max_sip_streams() {
-            cx.log.line(now, "sip-too-many-streams", format_args!("connection from {peer} is rejected"));
+            cx.log.line(
+                now,
+                "sip-too-many-streams",
+                format_args!("no room for a connection with {peer}"),
+            );
             return None;
         }
         let mut registered = Ok(());
@@ -229,7 +233,7 @@
                 Err(end_reason) => break Some(end_reason),
             }
         };
-        // An incomplete message must be completed within the timeout.
+        // The rest of an incomplete message must arrive within the timeout.
         if stream.is_in_use && stream.awaiting_since.is_none() && stream.conn.has_partial_line() {
             stream.awaiting_since = Some(now);
             cx.timers.schedule(now + MESSAGE_TIMEOUT, TimerEvent::SipStreamTimeout(token));
