--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -280,7 +280,8 @@
     Ok(ListedExchange { name: line.get("exchange")?.to_owned(), number, zone, phase, started_at })
 }
 
-/// Reads the free circuits and the size of the trunk group from a report; none if one of them is missing.
+/// Reads the free circuits and the size of the trunk group from a report; none if one of them is missing or out of
+/// range.
 fn parse_circuits(line: &Line, instance: &mut Instance) -> Result<Option<Event>, String> {
     let Some(pairs) = line.find("feedback") else {
         return Ok(None);
@@ -318,6 +319,7 @@
                 o if o & 2 != 0 => Origin::Redial,
                 _ => Origin::Subscriber,
             };
+            // A negative number stands for no hint.
             let hint = match line.find("advised_route") {
                 Some(_) => line.float("advised_route")?,
                 None => -1.0,
@@ -363,6 +365,7 @@
                 out.extend(parse_circuits(line, instance)?);
             }
         }
+        // The controller has no event for this message, which is only checked.
         "WHISPER" => {
             line.get("octets")?;
         }
@@ -404,8 +407,9 @@
         "OK" => Outcome::Ended,
         "INTERNAL" if note == 4 => Outcome::NumberBusy,
         "INTERNAL" => Outcome::Fault,
-        // `note` modulo 16 is the reason. The rest says for a tandem's refusal whether the destination's
-        // processor was full, and for a full processor how many milliseconds it asks to wait.
+        // `note` modulo 16 is the reason. `note` divided by 16 has the details: for a refusal by the tandem, it is
+        // not zero if the destination's processor was full; for a full processor, it is the waiting time that the
+        // processor states, in milliseconds, or zero if it states none.
         "RESOURCE_EXHAUSTED" => match note % 16 {
             1 => Outcome::NoCircuit,
             2 if note >= 16 => Outcome::DestinationProcessorFull,
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -5,7 +5,8 @@
 
 const INFO: &str = r#"{"allowed":{"max_retry_after_ms":2000.0,"retry_after":false,"try_limit":5},"discovery":"pushed","new_key":[1],"over_share_worth":0.1,"position":0,"report":{"fields":["spare","total"],"how":"pull"},"rules":{"cold_from":0.35,"cold_ms":14000.0,"drain_grace_ms":1000.0,"fall_ms":1000.0,"fall_multiple":2.5},"services":[{"deadline_ms":9000.0,"group":"all","late_worth":0.25,"name":"a","points":1.0,"promise_ms":1500.0,"semantics":"pure","window_ms":5000.0}],"siblings":3,"specifics":{"allowed_pools":[],"clear_wait_ms":500.0,"here":0,"layout":"meshed","mean_hold_ms":[11100.0],"resend_ms":0.0},"tenants":[],"tick_ms":5.0}"#;
 
-/// The first batch: starts instance 3 and gives it a list of two exchanges with free circuits to the other one.
+/// The first batch: starts instance 3, gives it a list of two exchanges, `own` and `other`, and reports free circuits
+/// to `other`.
 fn first_batch() -> String {
     format!(
         "MARK at_time_ms=5000\nTARGET_INSTANCE i=3\nPOWER_ON prng=7 info={INFO}\n\
@@ -26,7 +27,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("standard input is piped");
-    // The adapter may stop reading at a malformed line.
+    // Writing may fail, since the adapter exits at a malformed line without reading the rest.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter exits")
--- a/sources/src/har.rs
+++ b/sources/src/har.rs
@@ -1,6 +1,6 @@
 //! Parser for HAR files (HTTP Archive 1.2).
 
-use crate::{sort_from_first_start, Location, RecordedRequest, SourceError};
+use crate::{sort_by_start, Location, RecordedRequest, SourceError};
 use std::collections::HashMap;
 use std::time::Duration;
 use tinyjson::JsonValue;
@@ -77,7 +77,7 @@
     let requests = entries.iter().enumerate();
     let requests =
         requests.map(|(i, e)| parse_entry(e).map_err(|e| SourceError::new(Location::Entry(i), e)));
-    Ok(sort_from_first_start(requests.collect::<Result<_, _>>()?))
+    Ok(sort_by_start(requests.collect::<Result<_, _>>()?))
 }
 
 #[cfg(test)]
--- a/sources/src/lib.rs
+++ b/sources/src/lib.rs
@@ -133,9 +133,9 @@
     }
 }
 
-/// Sorts requests by their start and counts the starts from the earliest one. Sorting is needed because servers log
-/// requests in the order in which they end.
-fn sort_from_first_start(mut requests: Vec<(jiff::Timestamp, RecordedRequest)>) -> Vec<RecordedRequest> {
+/// Sorts requests by their start, and sets `started_at` to the time since the earliest start. Sorting is needed
+/// because servers log requests in the order in which they end.
+fn sort_by_start(mut requests: Vec<(jiff::Timestamp, RecordedRequest)>) -> Vec<RecordedRequest> {
     requests.sort_by_key(|(start, _)| *start);
     let first = requests.first().map(|(start, _)| *start);
     let since_first = |start: jiff::Timestamp| {
--- a/sources/src/log.rs
+++ b/sources/src/log.rs
@@ -1,6 +1,6 @@
 //! Parser for access logs in the Common and the Combined Log Format.
 
-use crate::{sort_from_first_start, Location, RecordedRequest, SourceError};
+use crate::{sort_by_start, Location, RecordedRequest, SourceError};
 use jiff::fmt::strtime;
 use std::time::Duration;
 
@@ -98,7 +98,7 @@
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
     let requests = lines
         .map(|(i, l)| parse_line(l, format).map_err(|e| SourceError::new(Location::Line(i + 1), e)));
-    Ok(sort_from_first_start(requests.collect::<Result<_, _>>()?))
+    Ok(sort_by_start(requests.collect::<Result<_, _>>()?))
 }
 
 #[cfg(test)]
