--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -319,7 +319,7 @@
                 o if o & 2 != 0 => Origin::Redial,
                 _ => Origin::Subscriber,
             };
-            // A negative number stands for no hint.
+            // A negative number means that there is no hint.
             let hint = match line.find("advised_route") {
                 Some(_) => line.float("advised_route")?,
                 None => -1.0,
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -658,7 +658,7 @@
             return;
         }
         if let Some(attempt) = attempt {
-            // The time-out is reported to the controller first, as it may give a final answer of its own.
+            // The timeout is reported to the controller first, as it may give a final answer of its own.
             self.commands.push_back(Command::CancelAttempt(attempt));
             self.remove_attempt(now, attempt, EndReason::TimedOut, false);
             self.handle_pending(now, timers);
--- a/node/src/net/clients.rs
+++ b/node/src/net/clients.rs
@@ -226,11 +226,11 @@
         let Some((token, client)) = first else {
             return false;
         };
-        let (peer, standing) = (client.peer, client.established);
+        let (peer, established) = (client.peer, client.established);
         cx.log.line(
             cx.now,
             "client-closed",
-            format_args!("{peer} why=\"makes way\" standing={standing}"),
+            format_args!("{peer} why=\"makes way\" standing={established}"),
         );
         self.end(token, EndReason::ClosedLocally, cx);
         true
--- a/node/src/net/exchanges/mod.rs
+++ b/node/src/net/exchanges/mod.rs
@@ -729,8 +729,8 @@
             peer.connections.retain(|t| *t != token);
         }
         if end != EndReason::ClosedLocally {
-            let (name, open) = (cx.engine.exchange_name(exchange), connection.unanswered.len());
-            cx.log.line(cx.now, "exchange-ended", format_args!("{name}: {end}, {open} open"));
+            let (name, unanswered) = (cx.engine.exchange_name(exchange), connection.unanswered.len());
+            cx.log.line(cx.now, "exchange-ended", format_args!("{name}: {end}, {unanswered} open"));
         }
         self.observe_end(&connection, was_active, end, cx);
         // A failed dial indicates that the exchange is unreachable only if no other connection is established
--- a/sources/src/har.rs
+++ b/sources/src/har.rs
@@ -39,7 +39,7 @@
         Some(ms) => Some(Duration::try_from_secs_f64(ms / 1000.0).map_err(|_| "time is out of range")?),
         None => None,
     };
-    // Status 0 stands for no response.
+    // Status 0 means that there was no response.
     let status = number(response, "response.", "status")?.filter(|s| *s != 0.0);
     let is_status_code = |s: &f64| s.fract() == 0.0 && (100.0..1000.0).contains(s);
     if status.is_some_and(|s| !is_status_code(&s)) {
--- a/src/control.rs
+++ b/src/control.rs
@@ -131,7 +131,7 @@
     }
 
     /// Updates the congestion flag, with hysteresis. The age of the oldest unanswered set-up counts as an
-    /// observed delay: this detects processors that answer nothing (hang, crash, lost link) before a time-out
+    /// observed delay: this detects processors that answer nothing (hang, crash, lost link) before a timeout
     /// does. One lost answer can set the flag wrongly; after that set-up ends, a trial set-up corrects it.
     fn update_flag(&mut self, now: Duration, target: f64, local: &LocalDelay) -> bool {
         let reference =
@@ -173,7 +173,7 @@
     started_at: Duration,
     /// When this controller learned of that start.
     learned_at: Duration,
-    /// When the last set-up was due under the cold budget.
+    /// When the last set-up was due under the cold budget, the limit during warm-up (`cold_budget_allows`).
     last_due: Option<Duration>,
     /// Free circuits of the trunk group, if known.
     free: Option<u32>,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -101,7 +101,8 @@
     OnRequest,
 }
 
-/// Parameters of the five rules.
+/// Limits that the rules of the network set: the grace period of a drain, the overload limit and slow start of a
+/// cold exchange, and the release delay before a retry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Time after the notice of a drain within which new set-ups to the exchange must end. The controller
@@ -115,7 +116,7 @@
     pub cold_capacity_ratio: f64,
     /// Time after its start by which an exchange has its full capacity.
     pub warm_up_time: Duration,
-    /// Delay before a call is set up again after a time-out, reset or cancel.
+    /// Delay before a call is set up again after a timeout, reset or cancel.
     pub release_delay: Duration,
 }
 
@@ -132,7 +133,7 @@
     /// Worth of a call beyond its tenant's quota, as a share of the worth of its class; no decision uses it
     /// either.
     pub over_share_worth: f64,
-    /// Parameters of the five rules.
+    /// Limits that the rules of the network set.
     pub rules: Rules,
     /// Number of controllers, including this one.
     pub controller_count: u32,
--- a/tests/controller/failures.rs
+++ b/tests/controller/failures.rs
@@ -25,7 +25,7 @@
 
 /// Guards against sending more calls to a processor that hangs, until its first set-up times out.
 #[test]
-fn a_long_unanswered_set_up_marks_the_processor_congested_before_its_time_out() {
+fn a_long_unanswered_set_up_marks_the_processor_congested_before_its_timeout() {
     let (mut host, _) = congested_host(settings());
     assert_eq!(sent_to(&host.place_call(1).1), None, "sent to a processor that hangs");
     assert_eq!(
@@ -45,7 +45,7 @@
 
 /// Guards against trial set-ups that queue behind a set-up that timed out but is still queued at the processor.
 #[test]
-fn trial_set_ups_pause_after_a_time_out_and_then_go_once_a_second() {
+fn trial_set_ups_pause_after_a_timeout_and_then_go_once_a_second() {
     let (mut host, call) = congested_host(settings());
     host.now += ms(100);
     let end =
@@ -326,7 +326,7 @@
 /// Guards against a local overload that goes unnoticed because all set-ups time out, and those of processors
 /// without any answer have no lowest delay to compare with.
 #[test]
-fn time_outs_of_processors_that_never_answered_reveal_local_congestion() {
+fn timeouts_of_processors_that_never_answered_reveal_local_congestion() {
     let mut s = settings();
     s.controller_count = 20;
     let mut host = Host::new(s);
--- a/tests/controller/invariants.rs
+++ b/tests/controller/invariants.rs
@@ -1,5 +1,7 @@
-//! The five rules as invariants over random events, valid and invalid. There is no model of a network: only the
-//! actions of the controller are checked.
+//! Invariants over random valid events: each call gets exactly one final answer by its deadline and has at most one
+//! pending set-up; set-ups wait for the release delay, time out by the deadline, and go only to exchanges in service,
+//! never to the local one. Invalid events must cause no panic, and the same events must give the same actions. There is
+//! no model of a network: only the actions of the controller are checked.
 
 use crate::common::*;
 use proptest::prelude::*;
@@ -21,7 +23,7 @@
     established: bool,
 }
 
-/// Passes events to a controller and checks its actions against the rules.
+/// Passes events to a controller and checks its actions against the rules above.
 struct RuleChecker {
     host: Host,
     open_calls: BTreeMap<CallId, OpenCall>,
--- a/tests/controller/rules.rs
+++ b/tests/controller/rules.rs
@@ -236,7 +236,7 @@
 
 /// Guards against setting a call up again before the release of the first set-up.
 #[test]
-fn a_retry_waits_for_the_release_delay_after_time_out_reset_disconnect_and_cancel() {
+fn a_retry_waits_for_the_release_delay_after_timeout_reset_disconnect_and_cancel() {
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Disconnected, Outcome::Cancelled] {
         let mut host = Host::new(settings());
         host.set_free_circuits(1, 0);
